--- a/crates/cuminramp-daemon/src/batch/runner.rs
+++ b/crates/cuminramp-daemon/src/batch/runner.rs
@@ -17,9 +17,9 @@
 use crate::batch::claims::queue_item;
 use crate::batch::held::ItemRef;
 use crate::batch::windows::{RunningItem, steward_of, stewards_any};
-use crate::borders::TargetAnswer;
 use crate::dispatch::{AttemptResult, TargetLease, start_attempt};
 use crate::entry::chat::chat_request;
+use crate::interfaces::TargetAnswer;
 use crate::state::{DaemonState, lock};
 
 /// How often windows are looked at.
--- a/crates/cuminramp-daemon/src/daemon.rs
+++ b/crates/cuminramp-daemon/src/daemon.rs
@@ -20,8 +20,8 @@
 use tokio_util::task::TaskTracker;
 
 use crate::batch::{BatchState, release_chunks, run_claims, run_items};
-use crate::borders::PlatformBorders;
 use crate::dispatch::{HttpTargets, PoolQueues, SilenceBoard, pump_queues};
+use crate::interfaces::PlatformBorders;
 use crate::marks::{MarkWriter, run_marks};
 use crate::metrics::DaemonMetrics;
 use crate::peer::{TarpcPeers, run_rhythm, serve_peers, spread_news};
--- a/crates/cuminramp-daemon/src/dispatch/attempt.rs
+++ b/crates/cuminramp-daemon/src/dispatch/attempt.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::borders::{TargetAnswer, TargetRequest};
+use crate::interfaces::{TargetAnswer, TargetRequest};
 use crate::state::{DaemonState, lock};
 
 /// Tells attempts that wait for an answer that their target has fallen silent.
--- a/crates/cuminramp-daemon/src/dispatch/online.rs
+++ b/crates/cuminramp-daemon/src/dispatch/online.rs
@@ -18,11 +18,11 @@
 };
 use tokio::time::Instant;
 
-use crate::borders::{TargetAnswer, TargetRequest};
 use crate::dispatch::attempt::{AttemptResult, TargetLease, start_attempt};
 use crate::dispatch::queue::wait_turn;
 use crate::dispatch::relay::{RelayJob, WholeError, read_whole, relay_stream, withdrawn_refusal};
 use crate::dispatch::target_specs;
+use crate::interfaces::{TargetAnswer, TargetRequest};
 use crate::state::{DaemonState, lock};
 
 /// A request that was admitted and has its route.
--- a/crates/cuminramp-daemon/src/dispatch/relay.rs
+++ b/crates/cuminramp-daemon/src/dispatch/relay.rs
@@ -13,13 +13,13 @@
 use tokio::time::Instant;
 use tokio_stream::wrappers::ReceiverStream;
 
-use crate::borders::{TargetAnswer, TargetRequest};
 use crate::dispatch::attempt::TargetLease;
 use crate::dispatch::events::{EventCutter, EventKind, StreamEvent};
 use crate::dispatch::online::{
     CrashWatch, OnlineRequest, decide_next, next_answer, partial_failure, resumed_request,
 };
 use crate::entry::error_body;
+use crate::interfaces::{TargetAnswer, TargetRequest};
 use crate::state::DaemonState;
 
 /// Events that wait for a slow caller before the target's stream is read on.
--- a/crates/cuminramp-daemon/src/dispatch/target_caller.rs
+++ b/crates/cuminramp-daemon/src/dispatch/target_caller.rs
@@ -10,7 +10,7 @@
 use http::Request;
 use http_body_util::{BodyStream, Full};
 
-use crate::borders::{TargetAnswer, TargetBody, TargetCaller, TargetRequest};
+use crate::interfaces::{TargetAnswer, TargetBody, TargetCaller, TargetRequest};
 use crate::state::lock;
 
 /// Calls targets over HTTP.
--- a/crates/cuminramp-daemon/src/entry/calls.rs
+++ b/crates/cuminramp-daemon/src/entry/calls.rs
@@ -14,12 +14,12 @@
 use http_body_util::BodyExt;
 
 use crate::admission::{admit_request, request_cost};
-use crate::borders::TargetRequest;
 use crate::dispatch::{OnlineRequest, dispatch_online};
 use crate::entry::answers::answer;
 use crate::entry::auth::{authenticate, check_ready};
 use crate::entry::body::read_bounded;
 use crate::entry::chat::{WorkTraits, find_route, kept_answer, make_online};
+use crate::interfaces::TargetRequest;
 use crate::marks::{MarkDecision, MarkEnd, StartedMark, begin_marked};
 use crate::state::DaemonState;
 
--- a/crates/cuminramp-daemon/src/entry/chat.rs
+++ b/crates/cuminramp-daemon/src/entry/chat.rs
@@ -17,12 +17,12 @@
 use tokio::time::Instant;
 
 use crate::admission::{admit_request, request_cost};
-use crate::borders::TargetRequest;
 use crate::dispatch::OnlineRequest;
 use crate::entry::answers::answer;
 use crate::entry::auth::{KnownCaller, authenticate, check_ready};
 use crate::entry::body::read_bounded;
 use crate::entry::calls::run_marked;
+use crate::interfaces::TargetRequest;
 use crate::state::DaemonState;
 
 /// The path of the same endpoint on engines.
--- a/crates/cuminramp-daemon/src/lib.rs
+++ b/crates/cuminramp-daemon/src/lib.rs
@@ -11,10 +11,10 @@
 
 mod admission;
 mod batch;
-mod borders;
 mod daemon;
 mod dispatch;
 mod entry;
+mod interfaces;
 mod logging;
 mod marks;
 mod metrics;
@@ -23,8 +23,8 @@
 mod state;
 mod sync;
 
-pub use borders::{
+pub use daemon::{Daemon, DaemonAddresses, StartError};
+pub use interfaces::{
     PeerCaller, PlatformBorders, TargetAnswer, TargetBody, TargetCaller, TargetRequest,
 };
-pub use daemon::{Daemon, DaemonAddresses, StartError};
 pub use logging::{BoundedOutput, start_logging};
--- a/crates/cuminramp-daemon/src/peer/caller.rs
+++ b/crates/cuminramp-daemon/src/peer/caller.rs
@@ -14,7 +14,7 @@
 use tarpc::context::{self, Context};
 use tokio_serde::formats::Bincode;
 
-use crate::borders::PeerCaller;
+use crate::interfaces::PeerCaller;
 use crate::peer::MAX_FRAME_BYTES;
 use crate::state::lock;
 
--- a/crates/cuminramp-daemon/src/state.rs
+++ b/crates/cuminramp-daemon/src/state.rs
@@ -14,8 +14,8 @@
 use tokio_util::task::TaskTracker;
 
 use crate::batch::BatchState;
-use crate::borders::{PeerCaller, PlatformBorders, TargetCaller};
 use crate::dispatch::{PoolQueues, SilenceBoard};
+use crate::interfaces::{PeerCaller, PlatformBorders, TargetCaller};
 use crate::marks::MarkWriter;
 use crate::metrics::DaemonMetrics;
 use crate::sync::ConfigurationStore;
--- a/crates/cuminramp-daemon/src/sync/targets.rs
+++ b/crates/cuminramp-daemon/src/sync/targets.rs
@@ -12,8 +12,8 @@
 use serde::Deserialize;
 use tokio::time::Instant;
 
-use crate::borders::TargetRequest;
 use crate::dispatch::target_specs;
+use crate::interfaces::TargetRequest;
 use crate::state::{DaemonState, lock};
 
 /// The largest load report that is read.
--- a/crates/cuminramp-fleet/src/declarations.rs
+++ b/crates/cuminramp-fleet/src/declarations.rs
@@ -5,7 +5,7 @@
 
 use cuminramp_core::{Name, SortedMap};
 
-use crate::targets::ColdRule;
+use crate::placement::ColdRule;
 
 /// What may be repeated of a route's requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
--- a/crates/cuminramp-fleet/src/lib.rs
+++ b/crates/cuminramp-fleet/src/lib.rs
@@ -22,18 +22,18 @@
 mod drains;
 #[cfg(test)]
 mod fixtures;
-mod health;
 mod heartbeat;
 mod homes;
 mod jobs;
 mod message;
+mod outliers;
 mod peers;
+mod placement;
 mod quota;
-mod registry;
-mod rhythm;
+mod row_cache;
+mod schedule;
 mod slots;
 mod steering;
-mod targets;
 
 pub use acceptance::{AcceptanceStep, AcceptanceView, FoundJob};
 pub use declarations::{
@@ -42,7 +42,6 @@
 };
 pub use demand::{ItemDemand, MOST_DEMAND_GROUPS, share_room};
 pub use drains::{DrainBook, ZoneDrain};
-pub use health::{DoubtChange, TargetOutcomes};
 pub use heartbeat::{
     EndedJob, HostHeartbeat, KnownHost, SuspectCount, TargetLoad, TeamUsage, ToldLoad, name_hash,
 };
@@ -52,17 +51,18 @@
     JobPolicy, JobSpec, UnsavedJob,
 };
 pub use message::HostMessage;
+pub use outliers::{DoubtChange, TargetOutcomes};
 pub use peers::{PeerPolicy, PeerRecord, PeerTable};
+pub use placement::{
+    ColdRule, ColdShare, ColdTolerance, FleetTarget, OnlineNeed, PlacementDecision,
+    PlacementPolicy, TargetBoard, TargetPhase, WorkKind,
+};
 pub use quota::{QuotaBook, QuotaDecision, QuotaTolerance};
-pub use registry::{ChangedRow, KnownRow, RegistryPolicy, RowAction, RowRegistry};
-pub use rhythm::{HeartbeatRhythm, HeartbeatTimes};
+pub use row_cache::{ChangedRow, KnownRow, RegistryPolicy, RowAction, RowRegistry};
+pub use schedule::{HeartbeatRhythm, HeartbeatTimes};
 pub use slots::{
     GrantNumbers, GroupShare, ItemGrant, ItemLimit, OwnerBook, OwnerClaim, ReportTimes, SearchNeed,
     SearchStep, SlotAnswer, SlotAsk, SlotGroup, SlotLedger, SlotOrder, SlotOutcome, SlotReport,
     SlotSearch,
 };
 pub use steering::{SteeringArea, SteeringBounds};
-pub use targets::{
-    ColdRule, ColdShare, ColdTolerance, FleetTarget, OnlineNeed, PlacementDecision,
-    PlacementPolicy, TargetBoard, TargetPhase, WorkKind,
-};
--- a/crates/cuminramp-fleet/src/health/tests.rs
+++ b/crates/cuminramp-fleet/src/outliers/tests.rs
@@ -5,7 +5,7 @@
 
 use super::{HealthBook, LEAST_FAILURES, TargetOutcomes};
 use crate::homes::ZoneLimit;
-use crate::targets::{
+use crate::placement::{
     ColdShare, FleetTarget, OnlineNeed, PlacementDecision, PlacementPolicy, TargetBoard,
     TargetPhase, WorkKind,
 };
--- a/crates/cuminramp-fleet/src/peers.rs
+++ b/crates/cuminramp-fleet/src/peers.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::heartbeat::{HostHeartbeat, KnownHost};
-use crate::rhythm::HeartbeatRhythm;
+use crate::schedule::HeartbeatRhythm;
 use crate::steering::{SteeringArea, SteeringBounds};
 
 /// How long a host that is not heard is still named to callers where hardly any other is: longer, and
--- a/crates/cuminramp-fleet/src/targets.rs
+++ b/crates/cuminramp-fleet/src/placement.rs
@@ -14,21 +14,21 @@
 use cuminramp_core::{AvailabilityZone, HostId, Name, SortedMap};
 use tokio::time::Instant;
 
-use crate::health::{DoubtChange, HealthBook, TargetOutcomes};
 use crate::heartbeat::{TargetLoad, name_hash};
 use crate::homes::ZoneLimit;
+use crate::outliers::{DoubtChange, HealthBook, TargetOutcomes};
 use crate::slots::SlotGroup;
 
 mod cold;
-mod foreign;
 mod group;
-mod placement;
-mod reach;
+mod orphans;
+mod placing;
+mod reachability;
 
 pub use cold::{ColdRule, ColdShare, ColdTolerance};
-use foreign::{ForeignWork, RecentPeak};
 pub(crate) use group::{GroupNeed, GroupPlace};
-use reach::ReachBook;
+use orphans::{ForeignWork, RecentPeak};
+use reachability::ReachBook;
 
 /// Whether a target takes new work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
--- a/crates/cuminramp-fleet/src/targets/group.rs
+++ b/crates/cuminramp-fleet/src/placement/group.rs
@@ -6,8 +6,8 @@
 use tokio::time::Instant;
 
 use super::{BoardEntry, ColdShare, FleetTarget, TargetBoard};
-use crate::health::TargetOutcomes;
 use crate::heartbeat::TargetLoad;
+use crate::outliers::TargetOutcomes;
 use crate::slots::SlotGroup;
 
 /// What a request needs of a place in a group.
--- a/crates/cuminramp-fleet/src/slots/ledger.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger.rs
@@ -9,8 +9,8 @@
 use super::message::{SlotAnswer, SlotAsk, SlotGroup, SlotOutcome, SlotReport};
 use crate::heartbeat::TargetLoad;
 #[cfg(test)]
-use crate::targets::WorkKind;
-use crate::targets::{ColdShare, GroupNeed, GroupPlace, TargetBoard};
+use crate::placement::WorkKind;
+use crate::placement::{ColdShare, GroupNeed, GroupPlace, TargetBoard};
 
 mod account;
 mod items;
--- a/crates/cuminramp-fleet/src/slots/ledger/items.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger/items.rs
@@ -8,8 +8,8 @@
 use super::SlotLedger;
 use crate::demand::{ItemDemand, share_room};
 use crate::heartbeat::TargetLoad;
+use crate::placement::{ColdShare, TargetBoard};
 use crate::slots::SlotGroup;
-use crate::targets::{ColdShare, TargetBoard};
 
 /// An item leaves a target within a few milliseconds of being asked to, and its host reports it.
 const REPEAT_LIMIT: Duration = Duration::from_millis(15);
--- a/crates/cuminramp-fleet/src/slots/message.rs
+++ b/crates/cuminramp-fleet/src/slots/message.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::demand::ItemDemand;
-use crate::health::TargetOutcomes;
 use crate::heartbeat::{TargetLoad, ToldLoad, name_hash};
+use crate::outliers::TargetOutcomes;
 
 /// The targets of one pool in one availability zone.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
--- a/crates/cuminramp-fleet/src/slots/tests.rs
+++ b/crates/cuminramp-fleet/src/slots/tests.rs
@@ -9,10 +9,12 @@
 };
 use crate::demand::ItemDemand;
 use crate::heartbeat::{TargetLoad, name_hash};
-use crate::targets::{ColdShare, FleetTarget, PlacementPolicy, TargetBoard, TargetPhase, WorkKind};
+use crate::placement::{
+    ColdShare, FleetTarget, PlacementPolicy, TargetBoard, TargetPhase, WorkKind,
+};
 
 mod cold;
-mod foreign;
+mod orphans;
 mod owners;
 mod search;
 
--- a/crates/cuminramp-fleet/src/slots/tests/cold.rs
+++ b/crates/cuminramp-fleet/src/slots/tests/cold.rs
@@ -8,11 +8,11 @@
 use super::{Owner, group, host, make_ask, report, target, waiting};
 use crate::heartbeat::name_hash;
 use crate::homes::ZoneLimit;
-use crate::slots::{GroupShare, SlotOutcome, SlotReport};
-use crate::targets::{
+use crate::placement::{
     ColdRule, ColdShare, ColdTolerance, FleetTarget, OnlineNeed, PlacementDecision,
     PlacementPolicy, TargetBoard,
 };
+use crate::slots::{GroupShare, SlotOutcome, SlotReport};
 
 /// Requests a second that a cold target of the test's pool bears.
 const BORNE_PER_S: f64 = 20.0;
--- a/crates/cuminramp-gateway/src/entry/calls.rs
+++ b/crates/cuminramp-gateway/src/entry/calls.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use super::{AnswerBody, refusal_response};
-use crate::borders::{CallHead, CallerCall, CallerKey};
+use crate::interfaces::{CallHead, CallerCall, CallerKey};
 use crate::jobs::{JobCaller, accept_job, end_job, read_item, read_results};
 use crate::online::{AdmittedRequest, RequestRecord, serve_request};
 use crate::state::{GatewayState, lock};
--- a/crates/cuminramp-gateway/src/entry/service_points.rs
+++ b/crates/cuminramp-gateway/src/entry/service_points.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-use crate::borders::SteeringCall;
+use crate::interfaces::SteeringCall;
 use crate::state::{GatewayState, lock};
 
 /// Until the head of a small call is whole.
--- a/crates/cuminramp-gateway/src/gateway.rs
+++ b/crates/cuminramp-gateway/src/gateway.rs
@@ -20,8 +20,8 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::borders::{CallFormat, FleetFormat, FleetStore};
 use crate::entry::{serve_callers, serve_metrics, serve_readiness, serve_steering};
+use crate::interfaces::{CallFormat, FleetFormat, FleetStore};
 use crate::jobs::{JobsFollower, hand_jobs_over, run_items, save_progress, take_jobs_over};
 use crate::metrics::GatewayMetrics;
 use crate::peers::{
--- a/crates/cuminramp-gateway/src/jobs/accept.rs
+++ b/crates/cuminramp-gateway/src/jobs/accept.rs
@@ -14,7 +14,7 @@
 
 use super::directory::{KnownJob, unix_ms};
 use super::names::{gate_key, input_key, input_object, job_key, jobs_prefix};
-use super::{JobCaller, keeper};
+use super::{JobCaller, writer};
 use crate::entry::{AnswerBody, whole_response};
 use crate::state::{GatewayState, lock};
 
@@ -380,7 +380,7 @@
         return;
     }
     let spec = job_spec(&known.row, items.into_iter().map(Arc::new).collect());
-    keeper::hold_job(state, known, spec, &[], vec![]);
+    writer::hold_job(state, known, spec, &[], vec![]);
 }
 
 /// A job as the board holds it.
--- a/crates/cuminramp-gateway/src/jobs/leave.rs
+++ b/crates/cuminramp-gateway/src/jobs/leave.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::keeper::KeeperOrder;
+use super::writer::KeeperOrder;
 use crate::state::{GatewayState, lock};
 
 /// Running items notice that they are stopped within a turn of the runtime.
--- a/crates/cuminramp-gateway/src/jobs/mod.rs
+++ b/crates/cuminramp-gateway/src/jobs/mod.rs
@@ -4,26 +4,26 @@
 mod checkpoint;
 mod directory;
 mod end;
-mod keeper;
 mod leave;
 mod names;
 mod read;
 mod run;
 mod takeover;
+mod writer;
 
 use cuminramp_core::Name;
 
-use crate::borders::CallHead;
+use crate::interfaces::CallHead;
 
 pub(crate) use accept::accept_job;
 pub(crate) use checkpoint::save_progress;
 pub(crate) use directory::{JobDirectory, JobsFollower, notice_end};
 pub(crate) use end::end_job;
-pub(crate) use keeper::JobKeepers;
 pub(crate) use leave::hand_jobs_over;
 pub(crate) use read::{read_item, read_results};
 pub(crate) use run::{RunningItems, fill_slots, may_run_in, run_items, waiting_pools};
 pub(crate) use takeover::take_jobs_over;
+pub(crate) use writer::JobKeepers;
 
 /// Who asks about a job.
 #[derive(Clone, Debug)]
--- a/crates/cuminramp-gateway/src/jobs/read.rs
+++ b/crates/cuminramp-gateway/src/jobs/read.rs
@@ -14,8 +14,8 @@
 use super::JobCaller;
 use super::directory::KnownJob;
 use super::names::{input_object, input_prefix, job_key, result_key, results_prefix};
-use crate::borders::{ListedResult, ResultPage};
 use crate::entry::{AnswerBody, whole_response};
+use crate::interfaces::{ListedResult, ResultPage};
 use crate::state::{GatewayState, lock};
 
 /// Results in one answer, and their bytes: an answer has at most a megabyte.
--- a/crates/cuminramp-gateway/src/jobs/run.rs
+++ b/crates/cuminramp-gateway/src/jobs/run.rs
@@ -12,8 +12,8 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::keeper::KeeperOrder;
-use crate::borders::TargetHead;
+use super::writer::KeeperOrder;
+use crate::interfaces::TargetHead;
 use crate::slots::ask_for_item_slots;
 use crate::state::{GatewayState, lock};
 use crate::targets::{
--- a/crates/cuminramp-gateway/src/lib.rs
+++ b/crates/cuminramp-gateway/src/lib.rs
@@ -13,9 +13,9 @@
 //!
 //! How callers, targets and rows are spelled is the business of [`CallFormat`] and [`FleetFormat`].
 
-mod borders;
 mod entry;
 mod gateway;
+mod interfaces;
 mod jobs;
 mod metrics;
 mod online;
@@ -25,8 +25,8 @@
 mod sync;
 mod targets;
 
-pub use borders::{
+pub use gateway::{Gateway, GatewayError};
+pub use interfaces::{
     AnswerHead, CallFormat, CallHead, CallerCall, CallerKey, FleetFormat, FleetStore, FormatFault,
     ListedResult, ResultPage, SteeringCall, TargetHead,
 };
-pub use gateway::{Gateway, GatewayError};
--- a/crates/cuminramp-gateway/src/online/serve.rs
+++ b/crates/cuminramp-gateway/src/online/serve.rs
@@ -14,8 +14,8 @@
 
 use super::RequestRecord;
 use super::relay::{relay_stream, relay_whole};
-use crate::borders::{CallHead, TargetHead};
 use crate::entry::{AnswerBody, is_again};
+use crate::interfaces::{CallHead, TargetHead};
 use crate::slots::find_slot;
 use crate::state::{GatewayState, lock};
 use crate::targets::{SendFailure, TargetAnswer, TargetRequest, TargetRun, send_request};
--- a/crates/cuminramp-gateway/src/state.rs
+++ b/crates/cuminramp-gateway/src/state.rs
@@ -16,7 +16,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::borders::{CallFormat, FleetFormat, FleetStore};
+use crate::interfaces::{CallFormat, FleetFormat, FleetStore};
 use crate::jobs::{JobDirectory, JobKeepers, RunningItems};
 use crate::metrics::GatewayMetrics;
 use crate::peers::{HostSocket, PeerClients};
--- a/crates/cuminramp-gateway/src/sync/mod.rs
+++ b/crates/cuminramp-gateway/src/sync/mod.rs
@@ -3,14 +3,14 @@
 mod drains;
 mod follow;
 mod hosts;
-mod news;
 mod relay;
+mod updates;
 
 pub(crate) use drains::take_drains;
 pub(crate) use follow::{TableFollower, follow_table};
 pub(crate) use hosts::{announce_host, learn_hosts, withdraw_host};
-pub(crate) use news::{
+pub(crate) use relay::{RelayedStore, answer_store_call};
+pub(crate) use updates::{
     DeclarationsFollower, NewsRows, TargetsFollower, answer_news, ask_for_news,
     drop_missing_targets,
 };
-pub(crate) use relay::{RelayedStore, answer_store_call};
--- a/crates/cuminramp-gateway/src/sync/relay.rs
+++ b/crates/cuminramp-gateway/src/sync/relay.rs
@@ -22,7 +22,7 @@
 };
 use tokio::time::Instant;
 
-use crate::borders::FleetStore;
+use crate::interfaces::FleetStore;
 use crate::state::{GatewayState, lock};
 
 /// What a call by another host may take: its own limit for a call of objects, and the way.
--- a/crates/cuminramp-gateway/src/targets/send.rs
+++ b/crates/cuminramp-gateway/src/targets/send.rs
@@ -12,8 +12,8 @@
 use tokio::time::Instant;
 
 use super::TargetLease;
-use crate::borders::AnswerHead;
 use crate::entry::PROMISES;
+use crate::interfaces::AnswerHead;
 use crate::state::{GatewayState, lock};
 
 /// What is sent.
