--- a/crates/cuminramp-batch/src/chunk.rs
+++ b/crates/cuminramp-batch/src/chunk.rs
@@ -127,7 +127,7 @@
 
 /// The row after targets died under items: the counts are kept, so that the next holder, too, runs
 /// them alone and they end after a bounded number of crashes, whoever runs them.
-pub fn note_suspects(
+pub fn record_crashes(
     row: &ChunkRow,
     holder: &LeaseHolder,
     suspects: &[SuspectItem],
--- a/crates/cuminramp-batch/src/chunk/tests.rs
+++ b/crates/cuminramp-batch/src/chunk/tests.rs
@@ -57,7 +57,7 @@
                 Step::Suspect(index) => {
                     let Some(lease) = leases.get(index) else { continue };
                     let suspects = [SuspectItem { index: 1, crashes: 1 }];
-                    row = note_suspects(&row, lease, &suspects).unwrap_or(row);
+                    row = record_crashes(&row, lease, &suspects).unwrap_or(row);
                 }
             }
         }
@@ -71,7 +71,7 @@
 fn crashes_are_remembered_by_the_next_holder() {
     let row = lease_chunk(&ChunkRow::default(), &host(1)).unwrap();
     let lease = LeaseHolder { host: host(1), fence: row.fence };
-    let row = note_suspects(&row, &lease, &[SuspectItem { index: 4, crashes: 1 }]).unwrap();
+    let row = record_crashes(&row, &lease, &[SuspectItem { index: 4, crashes: 1 }]).unwrap();
 
     let row = lease_chunk(&row, &host(2)).unwrap();
 
--- a/crates/cuminramp-batch/src/input.rs
+++ b/crates/cuminramp-batch/src/input.rs
@@ -22,7 +22,7 @@
 
 /// A line that can't run, with what is known of its name.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ItemFault {
+pub struct ItemError {
     /// The caller's name for it, or the line's number.
     pub custom_id: String,
     /// What is wrong.
@@ -44,24 +44,24 @@
 /// assert_eq!(cuminramp_batch::parse_line(line, 1).unwrap().model, "m");
 /// assert_eq!(cuminramp_batch::parse_line("{", 7).unwrap_err().custom_id, "line-7");
 /// ```
-pub fn parse_line(line: &str, number: usize) -> Result<BatchItem, ItemFault> {
-    let fault = |custom_id: String, reason: String| ItemFault {
+pub fn parse_line(line: &str, number: usize) -> Result<BatchItem, ItemError> {
+    let item_error = |custom_id: String, reason: String| ItemError {
         custom_id,
         refusal: Refusal::not_run(ResultCode::LineMalformed, format!("line {number}: {reason}")),
     };
     let nameless = format!("line-{number}");
-    let value: Value =
-        serde_json::from_str(line).map_err(|error| fault(nameless.clone(), error.to_string()))?;
+    let value: Value = serde_json::from_str(line)
+        .map_err(|error| item_error(nameless.clone(), error.to_string()))?;
     let named = value.get("custom_id").and_then(Value::as_str);
     let custom_id: String = named.unwrap_or(&nameless).chars().take(MOST_ID_CHARS).collect();
     let input: InputLine = serde_json::from_value(value)
-        .map_err(|error| fault(custom_id.clone(), error.to_string()))?;
+        .map_err(|error| item_error(custom_id.clone(), error.to_string()))?;
     if input.method != "POST" || input.url != ALLOWED_URL {
         let reason = format!("only POST {ALLOWED_URL} can be asked for");
-        return Err(fault(custom_id, reason));
+        return Err(item_error(custom_id, reason));
     }
     let Some(model) = input.body.get("model").and_then(Value::as_str) else {
-        return Err(fault(custom_id, "the body names no model".into()));
+        return Err(item_error(custom_id, "the body names no model".into()));
     };
     let model = model.to_owned();
     let mut body = input.body;
@@ -74,7 +74,7 @@
 
 /// Reads all lines of a text, the first with number `first`; empty lines are passed over but
 /// counted.
-pub fn parse_input(text: &str, first: usize) -> Vec<Result<BatchItem, ItemFault>> {
+pub fn parse_input(text: &str, first: usize) -> Vec<Result<BatchItem, ItemError>> {
     let lines = text.lines().enumerate();
     lines
         .filter(|(_, line)| !line.trim().is_empty())
--- a/crates/cuminramp-batch/src/input/tests.rs
+++ b/crates/cuminramp-batch/src/input/tests.rs
@@ -9,10 +9,10 @@
 #[test_case(r#"{"custom_id": "x", "method": "POST", "url": "/v1/other", "body": {}}"#, "x"; "url")]
 #[test_case(r#"{"custom_id": "x", "method": "POST", "url": "/v1/chat/completions", "body": {}}"#, "x"; "no model")]
 fn a_bad_line_has_an_error_of_its_own(line: &str, name: &str) {
-    let fault = parse_line(line, 3).unwrap_err();
+    let item_error = parse_line(line, 3).unwrap_err();
 
-    assert_eq!(fault.custom_id, name);
-    assert_eq!(fault.refusal.code.number(), 1008);
+    assert_eq!(item_error.custom_id, name);
+    assert_eq!(item_error.refusal.code.number(), 1008);
 }
 
 proptest! {
--- a/crates/cuminramp-batch/src/lib.rs
+++ b/crates/cuminramp-batch/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! - [`parse_input`] reads a file of JSON lines; a bad line gets its own error.
 //! - [`ChunkLayout`] cuts a job into chunks and knows where in the file each lies.
-//! - [`lease_chunk`], [`commit_chunk`], [`release_chunk`] and [`note_suspects`] are the steps of a
+//! - [`lease_chunk`], [`commit_chunk`], [`release_chunk`] and [`record_crashes`] are the steps of a
 //!   chunk's row.
 //! - [`JobPicker`] says which job a host works on next.
 //! - [`ItemOutcome`] is the line that a caller reads for an item.
@@ -20,10 +20,10 @@
 mod picker;
 
 pub use chunk::{
-    ChunkError, ChunkTally, LeaseHolder, commit_chunk, is_claimable, lease_chunk, note_suspects,
+    ChunkError, ChunkTally, LeaseHolder, commit_chunk, is_claimable, lease_chunk, record_crashes,
     release_chunk,
 };
-pub use input::{BatchItem, ItemFault, parse_input, parse_line};
+pub use input::{BatchItem, ItemError, parse_input, parse_line};
 pub use layout::{ChunkLayout, ChunkPlace, chunk_key, job_key, open_key};
 pub use outcome::ItemOutcome;
 pub use picker::{JobPicker, OpenJob};
--- a/crates/cuminramp-cli/src/bench/roles.rs
+++ b/crates/cuminramp-cli/src/bench/roles.rs
@@ -208,7 +208,7 @@
     let mut table = MemberTable::new(host(0), MemberPolicy::default(), now);
     for other in hosts(count).into_iter().skip(1) {
         let state = MemberTable::new(other, MemberPolicy::default(), now).my_state();
-        table.on_heard(&state, now);
+        table.on_message(&state, now);
     }
     table
 }
--- a/crates/cuminramp-daemon/src/admission.rs
+++ b/crates/cuminramp-daemon/src/admission.rs
@@ -73,7 +73,7 @@
     log::info!(team = &*team.name, decision = "refused", wait_ms = wait.as_millis() as u64; "rate");
     let limits = TeamLimits::from_tokens(team.rate, team.burst);
     let ledger = lock(&state.ledger);
-    let (doubtful, has_owner) = (ledger.is_doubtful(), ledger.has_owner(&team.name, limits));
+    let (doubtful, has_owner) = (ledger.is_unreliable(), ledger.has_owner(&team.name, limits));
     drop(ledger);
     if !has_owner {
         let message =
@@ -126,7 +126,7 @@
     let reply = state.peers.borrow(&lender.owner, request).await;
     let now = Instant::now();
     let Some(reply) = reply else {
-        lock(&state.ledger).note_silent(team, lender, now);
+        lock(&state.ledger).mark_silent(team, lender, now);
         return None;
     };
     state.metrics.count_borrow(reply.millitokens > 0);
--- a/crates/cuminramp-daemon/src/batch/chunks.rs
+++ b/crates/cuminramp-daemon/src/batch/chunks.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cuminramp_batch::{chunk_key, commit_chunk, note_suspects, open_key, release_chunk};
+use cuminramp_batch::{chunk_key, commit_chunk, open_key, record_crashes, release_chunk};
 use cuminramp_platform::{CommitOutcome, StoreError, Transaction};
 use cuminramp_wire::rows::{ChunkRow, ChunkState};
 use cuminramp_wire::{decode_row, encode_row};
@@ -74,7 +74,7 @@
 pub(crate) async fn keep_suspects(state: &Arc<DaemonState>, chunk: &Arc<HeldChunk>) {
     while !chunk.dropped.is_cancelled() {
         let suspects = chunk.suspects();
-        let step = |row: &ChunkRow| note_suspects(row, &chunk.lease, &suspects).ok();
+        let step = |row: &ChunkRow| record_crashes(row, &chunk.lease, &suspects).ok();
         match write_step(state, chunk, step).await {
             StepEnd::Written => return,
             StepEnd::Lost => return drop_chunk(state, chunk),
--- a/crates/cuminramp-daemon/src/batch/claims.rs
+++ b/crates/cuminramp-daemon/src/batch/claims.rs
@@ -21,7 +21,7 @@
 use crate::batch::jobs::{VersionedChunk, read_chunks};
 use crate::batch::layout_name;
 use crate::batch::results::write_manifest;
-use crate::batch::windows::stewards_any;
+use crate::batch::windows::owns_any_batch;
 use crate::entry::files::{file_object, unix_now};
 use crate::state::{DaemonState, lock};
 
@@ -181,7 +181,7 @@
     let configuration = &in_force.configuration;
     let route = in_force.planner.plan(configuration, RouteQuery::Model(model));
     match route.and_then(|route| configuration.pools.get(&*route.pool)) {
-        Some(pool) => stewards_any(state, pool),
+        Some(pool) => owns_any_batch(state, pool),
         None => true,
     }
 }
@@ -292,7 +292,7 @@
     Ok(())
 }
 
-fn held_item(parsed: Result<cuminramp_batch::BatchItem, cuminramp_batch::ItemFault>) -> HeldItem {
+fn held_item(parsed: Result<cuminramp_batch::BatchItem, cuminramp_batch::ItemError>) -> HeldItem {
     match parsed {
         Ok(item) => HeldItem {
             custom_id: item.custom_id.clone(),
--- a/crates/cuminramp-daemon/src/batch/runner.rs
+++ b/crates/cuminramp-daemon/src/batch/runner.rs
@@ -16,7 +16,7 @@
 use crate::batch::chunks::{finish_chunk, keep_suspects};
 use crate::batch::claims::queue_item;
 use crate::batch::held::ItemRef;
-use crate::batch::windows::{RunningItem, steward_of, stewards_any};
+use crate::batch::windows::{RunningItem, batch_owner_of, owns_any_batch};
 use crate::dispatch::{AttemptResult, TargetLease, start_attempt};
 use crate::entry::chat::chat_request;
 use crate::interfaces::TargetAnswer;
@@ -64,13 +64,13 @@
 /// ever; so this host runs them one by one beside the stewards.
 fn is_stranded(state: &DaemonState, pool: &Pool) -> bool {
     let waits = lock(&state.batch.waiting).waits_for(&pool.name);
-    waits && !stewards_any(state, pool)
+    waits && !owns_any_batch(state, pool)
 }
 
 /// Brings an engine's window up to date and starts what fits; returns the window's size.
 fn fill_window(state: &Arc<DaemonState>, pool: &Pool, target: &Target, stranded: bool) -> u32 {
     let now = Instant::now();
-    let mine = steward_of(state, &target.name).is_some_and(|host| host == state.me.id.address);
+    let mine = batch_owner_of(state, &target.name).is_some_and(|host| host == state.me.id.address);
     let (online, batch, report, ejected) = {
         let targets = lock(&state.targets);
         let (online, batch) = targets.in_flight(&target.name);
--- a/crates/cuminramp-daemon/src/batch/windows.rs
+++ b/crates/cuminramp-daemon/src/batch/windows.rs
@@ -146,10 +146,10 @@
     /// Tells the engine's steward that online work is on its way, unless it was told just now.
     pub(crate) fn announce_online(&self, state: &Arc<DaemonState>, target: &Name) {
         let now = Instant::now();
-        let Some(steward) = steward_of(state, target) else {
+        let Some(batch_owner) = batch_owner_of(state, target) else {
             return;
         };
-        if steward == state.me.id.address {
+        if batch_owner == state.me.id.address {
             return self.note_online(std::slice::from_ref(target), now);
         }
         let pause = self.policy.yield_time / 2;
@@ -165,7 +165,7 @@
         state.metrics.count_peer_call("yield");
         tokio::spawn(async move {
             let notice = YieldNotice { targets: vec![target.to_string()] };
-            state.peers.yield_targets(&steward, notice).await;
+            state.peers.yield_targets(&batch_owner, notice).await;
         });
     }
 }
@@ -174,16 +174,17 @@
 ///
 /// Two hosts that see different hosts for a moment may both hold themselves for the steward; the
 /// engine's reports then show each the other's items, and both make room.
-pub(crate) fn steward_of(state: &DaemonState, target: &str) -> Option<Name> {
+pub(crate) fn batch_owner_of(state: &DaemonState, target: &str) -> Option<Name> {
     let hosts = lock(&state.members).usable_hosts();
-    let steward = hosts.iter().max_by_key(|host| rendezvous_score(target, &host.id.address))?;
-    Some(steward.id.address.clone())
+    let batch_owner = hosts.iter().max_by_key(|host| rendezvous_score(target, &host.id.address))?;
+    Some(batch_owner.id.address.clone())
 }
 
 /// Whether this host is steward of any engine of a pool.
-pub(crate) fn stewards_any(state: &DaemonState, pool: &Pool) -> bool {
+pub(crate) fn owns_any_batch(state: &DaemonState, pool: &Pool) -> bool {
     let is_mine = |target: &Target| {
-        steward_of(state, &target.name).is_some_and(|steward| steward == state.me.id.address)
+        batch_owner_of(state, &target.name)
+            .is_some_and(|batch_owner| batch_owner == state.me.id.address)
     };
     pool.targets.iter().any(is_mine)
 }
--- a/crates/cuminramp-daemon/src/cmd/quickstart.rs
+++ b/crates/cuminramp-daemon/src/cmd/quickstart.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cuminramp_daemon::{Daemon, DaemonAddresses, PlatformBorders, start_logging};
+use cuminramp_daemon::{Daemon, DaemonAddresses, PlatformInterfaces, start_logging};
 use cuminramp_http::{CallLimits, HttpClient, read_body};
 use cuminramp_standin::{Engine, EngineSettings, MemoryPlatform, PlatformSettings};
 use http::{Method, Request};
@@ -39,9 +39,9 @@
     };
     start_logging(&settings.log_level);
     let platform = Arc::new(MemoryPlatform::new(PlatformSettings::default()));
-    let borders =
-        PlatformBorders { table: platform.clone(), objects: platform.clone(), hosts: platform };
-    let daemon = match Daemon::start_with(settings, borders).await {
+    let interfaces =
+        PlatformInterfaces { table: platform.clone(), objects: platform.clone(), hosts: platform };
+    let daemon = match Daemon::start_with(settings, interfaces).await {
         Ok(daemon) => daemon,
         Err(error) => {
             eprintln!("{error}");
--- a/crates/cuminramp-daemon/src/daemon.rs
+++ b/crates/cuminramp-daemon/src/daemon.rs
@@ -12,7 +12,7 @@
 use cuminramp_platform::HttpPlatform;
 use cuminramp_quota::{LedgerPolicy, QuotaLedger, StaticSplit, TOKEN};
 use cuminramp_settings::DaemonSettings;
-use cuminramp_targets::{CrashRegister, RetryBudget, TargetPolicy, TargetTable, WindowPolicy};
+use cuminramp_targets::{CrashTable, RetryBudget, TargetPolicy, TargetTable, WindowPolicy};
 use rand::Rng;
 use tokio::net::TcpListener;
 use tokio::time::Instant;
@@ -21,10 +21,10 @@
 
 use crate::batch::{BatchState, release_chunks, run_claims, run_items};
 use crate::dispatch::{HttpTargets, PoolQueues, SilenceBoard, pump_queues};
-use crate::interfaces::PlatformBorders;
+use crate::interfaces::PlatformInterfaces;
 use crate::marks::{MarkWriter, run_marks};
 use crate::metrics::DaemonMetrics;
-use crate::peer::{TarpcPeers, run_rhythm, serve_peers, spread_news};
+use crate::peer::{TarpcPeers, run_rhythm, serve_peers, spread_updates};
 use crate::state::{DaemonState, TableContact, lock};
 use crate::sync::{
     ConfigurationStore, announce_host, follow_targets, give_back_shards, poll_generations,
@@ -121,15 +121,18 @@
     pub async fn start(settings: DaemonSettings) -> Result<Self, StartError> {
         let platform =
             Arc::new(HttpPlatform::new(&settings.platform.address, settings.platform.timeout()));
-        let borders =
-            PlatformBorders { table: platform.clone(), objects: platform.clone(), hosts: platform };
-        Self::start_with(settings, borders).await
+        let interfaces = PlatformInterfaces {
+            table: platform.clone(),
+            objects: platform.clone(),
+            hosts: platform,
+        };
+        Self::start_with(settings, interfaces).await
     }
 
     /// Starts a daemon on the given platform.
     pub async fn start_with(
         settings: DaemonSettings,
-        platform: PlatformBorders,
+        platform: PlatformInterfaces,
     ) -> Result<Self, StartError> {
         let listeners = DaemonListeners {
             caller: listen("caller-address", &settings.caller_address).await?,
@@ -173,7 +176,7 @@
         if state.settings.platform.announce {
             announce_host(state).await;
         }
-        spread_news(state).await;
+        spread_updates(state).await;
         give_back_shards(state).await;
         release_chunks(state).await;
         tokio::time::sleep(DRAIN_GRACE).await;
@@ -215,7 +218,7 @@
 
 fn make_state(
     settings: DaemonSettings,
-    platform: PlatformBorders,
+    platform: PlatformInterfaces,
     me: Host,
 ) -> Result<DaemonState, StartError> {
     let now = Instant::now();
@@ -241,7 +244,7 @@
         },
         targets: TargetTable::new(target_policy(&settings)).into(),
         silence: SilenceBoard::default(),
-        crashes: CrashRegister::new(retries.quarantine_after, retries.quarantine()).into(),
+        crashes: CrashTable::new(retries.quarantine_after, retries.quarantine()).into(),
         budget: RetryBudget::new(retries.budget_share, retries.budget_burst).into(),
         queues: PoolQueues::default(),
         marks: MarkWriter::new(),
--- a/crates/cuminramp-daemon/src/dispatch/online.rs
+++ b/crates/cuminramp-daemon/src/dispatch/online.rs
@@ -20,7 +20,7 @@
 
 use crate::dispatch::attempt::{AttemptResult, TargetLease, start_attempt};
 use crate::dispatch::queue::wait_turn;
-use crate::dispatch::relay::{RelayJob, WholeError, read_whole, relay_stream, withdrawn_refusal};
+use crate::dispatch::relay::{BodyError, RelayJob, read_whole, relay_stream, withdrawn_refusal};
 use crate::dispatch::target_specs;
 use crate::interfaces::{TargetAnswer, TargetRequest};
 use crate::state::{DaemonState, lock};
@@ -157,8 +157,8 @@
                 *response.headers_mut() = headers;
                 return Ok(response);
             }
-            Err(WholeError::Withdrawn) => return Err(withdrawn_refusal()),
-            Err(WholeError::Failed(failure)) => {
+            Err(BodyError::Withdrawn) => return Err(withdrawn_refusal()),
+            Err(BodyError::Failed(failure)) => {
                 drop(lease);
                 decide_next(state, &mut job, failure)?;
             }
--- a/crates/cuminramp-daemon/src/dispatch/relay.rs
+++ b/crates/cuminramp-daemon/src/dispatch/relay.rs
@@ -63,7 +63,7 @@
 }
 
 /// Why an answer could not be read whole.
-pub(crate) enum WholeError {
+pub(crate) enum BodyError {
     /// The target broke off.
     Failed(AttemptFailure),
     /// The caller's key was withdrawn.
@@ -76,7 +76,7 @@
     job: &RelayJob,
     lease: &TargetLease,
     mut answer: TargetAnswer,
-) -> Result<Bytes, WholeError> {
+) -> Result<Bytes, BodyError> {
     let mut whole = BytesMut::new();
     let withdrawn = key_withdrawn(state, job.online.key);
     tokio::pin!(withdrawn);
@@ -84,8 +84,8 @@
         let limit = progress_limit(state, job);
         let part = tokio::select! {
             part = tokio::time::timeout_at(limit, answer.body.next()) => part,
-            () = lease.silenced.cancelled() => return Err(WholeError::Failed(partial_failure(0, false))),
-            () = &mut withdrawn => return Err(WholeError::Withdrawn),
+            () = lease.silenced.cancelled() => return Err(BodyError::Failed(partial_failure(0, false))),
+            () = &mut withdrawn => return Err(BodyError::Withdrawn),
         };
         match part {
             Ok(None) => return Ok(whole.freeze()),
@@ -94,14 +94,14 @@
             {
                 whole.extend_from_slice(&bytes);
             }
-            Ok(Some(Ok(_))) => return Err(WholeError::Failed(partial_failure(0, false))),
+            Ok(Some(Ok(_))) => return Err(BodyError::Failed(partial_failure(0, false))),
             Ok(Some(Err(_))) => {
                 lease.note(AttemptEnd::Failed);
-                return Err(WholeError::Failed(partial_failure(0, true)));
+                return Err(BodyError::Failed(partial_failure(0, true)));
             }
             Err(_) => {
                 lease.note(AttemptEnd::Silent);
-                return Err(WholeError::Failed(partial_failure(0, false)));
+                return Err(BodyError::Failed(partial_failure(0, false)));
             }
         }
     }
--- a/crates/cuminramp-daemon/src/interfaces.rs
+++ b/crates/cuminramp-daemon/src/interfaces.rs
@@ -18,7 +18,7 @@
 
 /// The platform's services.
 #[derive(Clone)]
-pub struct PlatformBorders {
+pub struct PlatformInterfaces {
     /// The table.
     pub table: Arc<dyn TableStore>,
     /// The object store.
--- a/crates/cuminramp-daemon/src/lib.rs
+++ b/crates/cuminramp-daemon/src/lib.rs
@@ -25,6 +25,6 @@
 
 pub use daemon::{Daemon, DaemonAddresses, StartError};
 pub use interfaces::{
-    PeerCaller, PlatformBorders, TargetAnswer, TargetBody, TargetCaller, TargetRequest,
+    PeerCaller, PlatformInterfaces, TargetAnswer, TargetBody, TargetCaller, TargetRequest,
 };
 pub use logging::{BoundedOutput, start_logging};
--- a/crates/cuminramp-daemon/src/operator/declarations.rs
+++ b/crates/cuminramp-daemon/src/operator/declarations.rs
@@ -5,7 +5,7 @@
 use axum::Json;
 use axum::extract::{Query, State};
 use axum::response::{IntoResponse, Response};
-use cuminramp_routes::{DeclarationFault, Declarations, parse_declarations, plan_changes};
+use cuminramp_routes::{DeclarationError, Declarations, parse_declarations, plan_changes};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
@@ -111,5 +111,5 @@
 
 /// A fault that concerns one field of a request.
 pub(super) fn field_fault(place: &str, reason: impl Into<String>) -> PublishError {
-    PublishError::Invalid(vec![DeclarationFault { place: place.into(), reason: reason.into() }])
+    PublishError::Invalid(vec![DeclarationError { place: place.into(), reason: reason.into() }])
 }
--- a/crates/cuminramp-daemon/src/operator/keys.rs
+++ b/crates/cuminramp-daemon/src/operator/keys.rs
@@ -15,7 +15,7 @@
 
 use crate::operator::declarations::field_fault;
 use crate::operator::publish_failure;
-use crate::peer::spread_news;
+use crate::peer::spread_updates;
 use crate::state::DaemonState;
 use crate::sync::{PublishError, publish_changes};
 
@@ -132,7 +132,7 @@
         }
     };
     state.configuration.withdraw([digest]);
-    spread_news(&state).await;
+    spread_updates(&state).await;
     let change = Change { entry: Some(Entry::WithdrawnKey(digest.as_bytes().to_vec())) };
     let written = publish_retrying(&state, change).await;
     log::info!(digest = digest.to_string().as_str(), written = written.is_ok(), decision = "withdrawn"; "key");
--- a/crates/cuminramp-daemon/src/peer/mod.rs
+++ b/crates/cuminramp-daemon/src/peer/mod.rs
@@ -5,7 +5,7 @@
 mod server;
 
 pub(crate) use caller::TarpcPeers;
-pub(crate) use rhythm::{run_rhythm, spread_news};
+pub(crate) use rhythm::{run_rhythm, spread_updates};
 pub(crate) use server::serve_peers;
 
 /// The largest message between daemons.
--- a/crates/cuminramp-daemon/src/peer/rhythm.rs
+++ b/crates/cuminramp-daemon/src/peer/rhythm.rs
@@ -132,7 +132,7 @@
     for update in updates {
         members.on_update(update, now);
     }
-    members.on_heard(sender, now);
+    members.on_message(sender, now);
 }
 
 /// Whether the sender has something that this host lacks.
@@ -161,7 +161,7 @@
 }
 
 /// Probes a few hosts at once, so that what is new here is soon known everywhere.
-pub(crate) async fn spread_news(state: &Arc<DaemonState>) {
+pub(crate) async fn spread_updates(state: &Arc<DaemonState>) {
     let mut peers = lock(&state.members).usable_peers();
     let mut probes = tokio::task::JoinSet::new();
     while probes.len() < SPREAD_WIDTH && !peers.is_empty() {
--- a/crates/cuminramp-daemon/src/state.rs
+++ b/crates/cuminramp-daemon/src/state.rs
@@ -8,14 +8,14 @@
 use cuminramp_membership::{MemberTable, SteeringPlanner};
 use cuminramp_quota::{QuotaLedger, StaticSplit};
 use cuminramp_settings::{DaemonSettings, QuotaPolicy};
-use cuminramp_targets::{CrashRegister, RetryBudget, TargetTable};
+use cuminramp_targets::{CrashTable, RetryBudget, TargetTable};
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
 use crate::batch::BatchState;
 use crate::dispatch::{PoolQueues, SilenceBoard};
-use crate::interfaces::{PeerCaller, PlatformBorders, TargetCaller};
+use crate::interfaces::{PeerCaller, PlatformInterfaces, TargetCaller};
 use crate::marks::MarkWriter;
 use crate::metrics::DaemonMetrics;
 use crate::sync::ConfigurationStore;
@@ -30,7 +30,7 @@
 pub(crate) struct DaemonState {
     pub(crate) settings: DaemonSettings,
     pub(crate) me: Host,
-    pub(crate) platform: PlatformBorders,
+    pub(crate) platform: PlatformInterfaces,
     pub(crate) peers: Arc<dyn PeerCaller>,
     pub(crate) caller: Arc<dyn TargetCaller>,
     pub(crate) configuration: ConfigurationStore,
@@ -40,7 +40,7 @@
     pub(crate) steering: SteeringPlanner,
     pub(crate) targets: Mutex<TargetTable>,
     pub(crate) silence: SilenceBoard,
-    pub(crate) crashes: Mutex<CrashRegister>,
+    pub(crate) crashes: Mutex<CrashTable>,
     pub(crate) budget: Mutex<RetryBudget>,
     pub(crate) queues: PoolQueues,
     pub(crate) marks: MarkWriter,
@@ -79,7 +79,7 @@
         }
         let members = lock(&self.members);
         let alone = members.members().next().is_none();
-        alone || members.hears_majority()
+        alone || members.has_majority()
     }
 }
 
--- a/crates/cuminramp-daemon/src/sync/publisher.rs
+++ b/crates/cuminramp-daemon/src/sync/publisher.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use cuminramp_platform::{CommitOutcome, StoreError, Transaction};
-use cuminramp_routes::DeclarationFault;
+use cuminramp_routes::DeclarationError;
 use cuminramp_wire::rows::change::Entry;
 use cuminramp_wire::rows::{Change, ChangeSet, HeadRow};
 use cuminramp_wire::{decode_row, encode_row};
 use serde_json::Value;
 
-use crate::peer::spread_news;
+use crate::peer::spread_updates;
 use crate::state::DaemonState;
 use crate::sync::configuration::{VersionedHead, read_generations, read_head};
 use crate::sync::{HEAD_KEY, change_key, snapshot_name};
@@ -33,7 +33,7 @@
         difference: Vec<Value>,
     },
     /// The result would be wrong.
-    Invalid(Vec<DeclarationFault>),
+    Invalid(Vec<DeclarationError>),
     /// The table can't be reached; nothing was written.
     Unavailable(String),
     /// The table did not say whether it took the change, and can't be asked.
@@ -74,7 +74,7 @@
         read_generations(state).await.map_err(|error| PublishError::Unknown(error.to_string()))?;
     }
     log::info!(generation = generation, decision = "accepted"; "generation");
-    spread_news(state).await;
+    spread_updates(state).await;
     write_snapshot(state, generation);
     Ok(generation)
 }
--- a/crates/cuminramp-daemon/src/sync/shards.rs
+++ b/crates/cuminramp-daemon/src/sync/shards.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::daemon::new_incarnation;
-use crate::peer::spread_news;
+use crate::peer::spread_updates;
 use crate::state::{DaemonState, lock};
 use crate::sync::shard_key;
 
@@ -75,7 +75,7 @@
         if polls_until_read == 0 || has_work(&state) {
             polls_until_read = POLLS_PER_READ;
             if let Ok(rows) = read_shards(&state).await
-                && !lock(&state.ledger).is_doubtful()
+                && !lock(&state.ledger).is_unreliable()
             {
                 claim_shards(&state, &rows).await;
                 move_shards(&state, &rows).await;
@@ -167,7 +167,7 @@
     for group in moves.chunks(CLAIMS_PER_WRITE) {
         write_moves(state, &rows, group).await;
     }
-    spread_news(state).await;
+    spread_updates(state).await;
 }
 
 /// Writes changes of ownership in one transaction, and one by one where that meets a conflict. What
@@ -203,7 +203,7 @@
     if read.is_ok() {
         send_handovers(state, handovers).await;
     }
-    spread_news(state).await;
+    spread_updates(state).await;
 }
 
 /// A shard that is given away, and what goes with it.
--- a/crates/cuminramp-gateway/src/gateway.rs
+++ b/crates/cuminramp-gateway/src/gateway.rs
@@ -12,7 +12,7 @@
     QuotaBook, QuotaTolerance, RegionMap, TargetBoard,
 };
 use cuminramp_settings::GatewaySettings;
-use cuminramp_targets::CrashRegister;
+use cuminramp_targets::CrashTable;
 use rand::Rng;
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, Semaphore};
@@ -144,7 +144,7 @@
         drains: Default::default(),
         regions,
         slots: SlotState::new(id),
-        crashes: CrashRegister::new(MOST_CRASHES, QUARANTINE).into(),
+        crashes: CrashTable::new(MOST_CRASHES, QUARANTINE).into(),
         peers: PeerTable::new(me.clone(), PEERS).into(),
         jobs: JobBoard::new(JobPolicy::default()).into(),
         directory: Default::default(),
--- a/crates/cuminramp-gateway/src/online/serve.rs
+++ b/crates/cuminramp-gateway/src/online/serve.rs
@@ -94,7 +94,7 @@
         if crashes.is_empty() {
             return Ok(());
         }
-        let Some(left) = crashes.held_back(self.fingerprint(), Instant::now()) else {
+        let Some(left) = crashes.quarantine_left(self.fingerprint(), Instant::now()) else {
             return Ok(());
         };
         let execution = if self.runs > 0 { Execution::MayHaveRun } else { Execution::NotRun };
--- a/crates/cuminramp-gateway/src/state.rs
+++ b/crates/cuminramp-gateway/src/state.rs
@@ -10,7 +10,7 @@
     RegionMap, TargetBoard,
 };
 use cuminramp_settings::GatewaySettings;
-use cuminramp_targets::CrashRegister;
+use cuminramp_targets::CrashTable;
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
@@ -53,7 +53,7 @@
     pub(crate) quota: Mutex<QuotaBook>,
     pub(crate) board: Mutex<TargetBoard>,
     /// Requests that broke targets.
-    pub(crate) crashes: Mutex<CrashRegister>,
+    pub(crate) crashes: Mutex<CrashTable>,
     pub(crate) peers: Mutex<PeerTable>,
     pub(crate) jobs: Mutex<JobBoard>,
     pub(crate) directory: JobDirectory,
--- a/crates/cuminramp-membership/src/table.rs
+++ b/crates/cuminramp-membership/src/table.rs
@@ -185,7 +185,7 @@
 
     /// A host spoke for itself, by a probe or an answer. One that is held for suspect or dead is told so
     /// with the next message, see [`take_updates`](Self::take_updates), and contradicts.
-    pub fn on_heard(&mut self, state: &HostState, now: Instant) {
+    pub fn on_message(&mut self, state: &HostState, now: Instant) {
         self.merge(state, now);
     }
 
@@ -272,7 +272,7 @@
     ///
     /// Two sides of a cut can't both: so the side that takes over shards (it needs this) and the side
     /// whose host goes on without the table (it needs this too) always share a host that hears both.
-    pub fn hears_majority(&self) -> bool {
+    pub fn has_majority(&self) -> bool {
         let heard = self.usable_peers().len() + 1;
         let remembered = self.members.len() + self.strangers().count() + 1;
         heard * 2 > remembered
@@ -298,13 +298,13 @@
                 member.status == MemberStatus::Dead
                     && long_ago(member.since)
                     && member.unlisted_since.is_some_and(long_ago)
-                    && self.hears_majority()
+                    && self.has_majority()
             }
             None => {
                 let listed = self.is_listed(&id.address);
                 let read = self.list_read_at.is_some_and(|at| !long_ago(at));
                 let waited = now.saturating_duration_since(self.started_at) > lag * 2;
-                !listed && read && waited && self.hears_majority()
+                !listed && read && waited && self.has_majority()
             }
         }
     }
--- a/crates/cuminramp-membership/src/table/tests.rs
+++ b/crates/cuminramp-membership/src/table/tests.rs
@@ -32,7 +32,7 @@
     for table in &mut tables {
         table.on_list(&listed(0..count), now);
         for state in &states {
-            table.on_heard(state, now);
+            table.on_message(state, now);
         }
     }
     tables
@@ -100,7 +100,7 @@
     for update in &updates {
         tables[to].on_update(update, now);
     }
-    tables[to].on_heard(&state, now);
+    tables[to].on_message(&state, now);
 }
 
 // A host is killed. Callers who are sent to it hang until they give up.
@@ -180,7 +180,7 @@
     let mut table = acquainted(3, start).remove(0);
     let restarted = MemberTable::new(host(1, 2), MemberPolicy::default(), start);
 
-    table.on_heard(&restarted.my_state(), start);
+    table.on_message(&restarted.my_state(), start);
 
     assert!(table.is_surely_dead(&host(1, 1).id, start));
     assert!(!table.is_surely_dead(&host(1, 2).id, start));
@@ -199,8 +199,8 @@
         step(&mut tables, &mut random, &cut, start + Duration::from_millis(250) * tick);
     }
 
-    assert!(tables[..4].iter().all(|table| !table.hears_majority()));
-    assert!(tables[4..].iter().all(MemberTable::hears_majority));
+    assert!(tables[..4].iter().all(|table| !table.has_majority()));
+    assert!(tables[4..].iter().all(MemberTable::has_majority));
 }
 
 #[test]
@@ -210,7 +210,7 @@
     tables[0].leave(start);
 
     let state = tables[0].my_state();
-    tables[1].on_heard(&state, start);
+    tables[1].on_message(&state, start);
 
     assert_eq!(tables[1].usable_hosts().len(), 2);
     assert_eq!(tables[1].usable_peers().len(), 2);
--- a/crates/cuminramp-quota/src/ledger.rs
+++ b/crates/cuminramp-quota/src/ledger.rs
@@ -151,7 +151,7 @@
     /// use cuminramp_quota::{LedgerPolicy, QuotaLedger};
     /// let me = HostId { address: "127.0.0.1:1".into(), incarnation: 1 };
     /// let ledger = QuotaLedger::new(me, LedgerPolicy::default(), tokio::time::Instant::now());
-    /// assert!(!ledger.is_doubtful());
+    /// assert!(!ledger.is_unreliable());
     /// # }
     /// ```
     pub fn new(me: HostId, policy: LedgerPolicy, now: Instant) -> Self {
@@ -217,7 +217,7 @@
     }
 
     /// Whether it spends nothing of its own for now.
-    pub fn is_doubtful(&self) -> bool {
+    pub fn is_unreliable(&self) -> bool {
         self.doubtful_since.is_some()
     }
 
@@ -309,7 +309,7 @@
     }
 
     /// Notes that an owner gave no answer, so that it isn't asked again at once.
-    pub fn note_silent(&mut self, team: &Name, lender: &Lender, now: Instant) {
+    pub fn mark_silent(&mut self, team: &Name, lender: &Lender, now: Instant) {
         if let Some(quota) = self.teams.get_mut(team) {
             quota.note_dry(lender.shard, now + self.policy.borrow_valid);
         }
--- a/crates/cuminramp-quota/src/team.rs
+++ b/crates/cuminramp-quota/src/team.rs
@@ -24,7 +24,7 @@
 
 /// Borrowed tokens that may still be spent.
 #[derive(Clone, Copy, Debug)]
-struct Stash {
+struct TokenCache {
     until: Instant,
     amount: Millitokens,
 }
@@ -35,7 +35,7 @@
     pub(crate) allotment: Allotment,
     /// By slice: the bucket and the epoch of the shard under which it was filled.
     pub(crate) buckets: SortedMap<u32, SliceBucket>,
-    stashes: Vec<Stash>,
+    caches: Vec<TokenCache>,
     /// By shard: before this moment its owner has none to lend.
     dry: SortedMap<u32, Instant>,
     /// By shard: what its owner had left when it was last asked.
@@ -60,14 +60,14 @@
 /// What was taken for one request, and from where.
 pub(crate) struct Taken {
     from_buckets: Vec<(u32, Millitokens)>,
-    from_stashes: Vec<Stash>,
+    from_caches: Vec<TokenCache>,
 }
 
 impl Taken {
     pub(crate) fn total(&self) -> Millitokens {
         let buckets: Millitokens = self.from_buckets.iter().map(|(_, amount)| amount).sum();
-        let stashes: Millitokens = self.from_stashes.iter().map(|stash| stash.amount).sum();
-        buckets + stashes
+        let caches: Millitokens = self.from_caches.iter().map(|cache| cache.amount).sum();
+        buckets + caches
     }
 }
 
@@ -76,7 +76,7 @@
         TeamQuota {
             allotment: Allotment::new(limits),
             buckets: SortedMap::new(),
-            stashes: Vec::new(),
+            caches: Vec::new(),
             dry: SortedMap::new(),
             hints: SortedMap::new(),
             demand: 0.0,
@@ -134,7 +134,7 @@
         self.hints.insert(shard, LenderHint { left: answer.left, at: now });
         let until = asked_at + answer.valid;
         if answer.amount > 0 && until > now {
-            self.stashes.push(Stash { until, amount: answer.amount });
+            self.caches.push(TokenCache { until, amount: answer.amount });
         } else {
             self.note_dry(shard, now + answer.wait);
         }
@@ -154,15 +154,15 @@
 
     /// Takes from the stash that ends first, then from own buckets.
     pub(crate) fn take(&mut self, cost: Millitokens, trusted: bool, now: Instant) -> Taken {
-        self.stashes.retain(|stash| stash.until > now && stash.amount > 0);
-        self.stashes.sort_by_key(|stash| stash.until);
-        let mut taken = Taken { from_buckets: Vec::new(), from_stashes: Vec::new() };
+        self.caches.retain(|cache| cache.until > now && cache.amount > 0);
+        self.caches.sort_by_key(|cache| cache.until);
+        let mut taken = Taken { from_buckets: Vec::new(), from_caches: Vec::new() };
         let mut missing = cost;
-        for stash in &mut self.stashes {
-            let amount = missing.min(stash.amount);
-            stash.amount -= amount;
+        for cache in &mut self.caches {
+            let amount = missing.min(cache.amount);
+            cache.amount -= amount;
             missing -= amount;
-            taken.from_stashes.push(Stash { until: stash.until, amount });
+            taken.from_caches.push(TokenCache { until: cache.until, amount });
         }
         if !trusted {
             return taken;
@@ -182,15 +182,15 @@
                 slice.bucket.put_back(amount);
             }
         }
-        let returned = taken.from_stashes.into_iter();
-        self.stashes.extend(returned.filter(|stash| stash.amount > 0 && stash.until > now));
+        let returned = taken.from_caches.into_iter();
+        self.caches.extend(returned.filter(|cache| cache.amount > 0 && cache.until > now));
     }
 
     fn level(&mut self, trusted: bool, now: Instant) -> Millitokens {
-        let stashed: Millitokens = self.stashes.iter().map(|stash| stash.amount).sum();
+        let cached: Millitokens = self.caches.iter().map(|cache| cache.amount).sum();
         let buckets = self.buckets.iter_mut();
         let own: Millitokens = buckets.map(|(_, slice)| slice.bucket.level(now)).sum();
-        if trusted { stashed + own } else { stashed }
+        if trusted { cached + own } else { cached }
     }
 
     pub(crate) fn wait_for(
--- a/crates/cuminramp-routes/src/configuration.rs
+++ b/crates/cuminramp-routes/src/configuration.rs
@@ -6,7 +6,7 @@
 use cuminramp_wire::rows::change::Entry;
 use cuminramp_wire::rows::{ChangeSet, KeyEntry, PoolEntry, RouteEntry, Snapshot, TeamEntry};
 
-use crate::declarations::{DeclarationFault, Declarations, Pool, Route, Team};
+use crate::declarations::{DeclarationError, Declarations, Pool, Route, Team};
 
 /// To which team a key belongs.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -175,10 +175,10 @@
     }
 
     /// What is wrong with it as a whole: as in a declaration, and keys of unknown teams.
-    pub fn check(&self) -> Vec<DeclarationFault> {
+    pub fn check(&self) -> Vec<DeclarationError> {
         let mut faults = self.to_declarations().check();
         for grant in self.keys.values().filter(|grant| !self.teams.contains_key(&*grant.team)) {
-            faults.push(DeclarationFault {
+            faults.push(DeclarationError {
                 place: format!("keys[{}]", grant.label),
                 reason: format!(
                     "its team {:?} is not declared; withdraw the key first",
--- a/crates/cuminramp-routes/src/declarations.rs
+++ b/crates/cuminramp-routes/src/declarations.rs
@@ -152,20 +152,20 @@
 
 /// Something wrong with a declaration, and where.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct DeclarationFault {
+pub struct DeclarationError {
     /// The place, as `routes[2].pool`.
     pub place: String,
     /// What is wrong.
     pub reason: String,
 }
 
-impl DeclarationFault {
+impl DeclarationError {
     fn new(place: impl Into<String>, reason: impl Into<String>) -> Self {
-        DeclarationFault { place: place.into(), reason: reason.into() }
+        DeclarationError { place: place.into(), reason: reason.into() }
     }
 }
 
-impl fmt::Display for DeclarationFault {
+impl fmt::Display for DeclarationError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}: {}", self.place, self.reason)
     }
@@ -175,95 +175,95 @@
 ///
 /// ```
 /// let text = r#"{ "routes": [{"name": "r", "model": "m", "pool": "nowhere"}] }"#;
-/// let faults = cuminramp_routes::parse_declarations(text).unwrap_err();
-/// assert_eq!(faults[0].place, "routes[0].pool");
+/// let errors = cuminramp_routes::parse_declarations(text).unwrap_err();
+/// assert_eq!(errors[0].place, "routes[0].pool");
 /// ```
-pub fn parse_declarations(text: &str) -> Result<Declarations, Vec<DeclarationFault>> {
+pub fn parse_declarations(text: &str) -> Result<Declarations, Vec<DeclarationError>> {
     let declarations: Declarations = serde_jsonc::from_str(text)
-        .map_err(|error| vec![DeclarationFault::new("file", error.to_string())])?;
-    let faults = declarations.check();
-    if faults.is_empty() { Ok(declarations) } else { Err(faults) }
+        .map_err(|error| vec![DeclarationError::new("file", error.to_string())])?;
+    let errors = declarations.check();
+    if errors.is_empty() { Ok(declarations) } else { Err(errors) }
 }
 
 impl Declarations {
     /// Lists everything that is wrong.
-    pub fn check(&self) -> Vec<DeclarationFault> {
-        let mut faults = Vec::new();
-        self.check_names(&mut faults);
-        self.check_routes(&mut faults);
-        self.check_targets(&mut faults);
-        self.check_teams(&mut faults);
-        faults
+    pub fn check(&self) -> Vec<DeclarationError> {
+        let mut errors = Vec::new();
+        self.check_names(&mut errors);
+        self.check_routes(&mut errors);
+        self.check_targets(&mut errors);
+        self.check_teams(&mut errors);
+        errors
     }
 
-    fn check_names(&self, faults: &mut Vec<DeclarationFault>) {
+    fn check_names(&self, errors: &mut Vec<DeclarationError>) {
         let targets = || self.pools.iter().flat_map(|pool| pool.targets.iter());
-        check_unique("routes", "name", self.routes.iter().map(|row| Some(&row.name)), faults);
-        check_unique("routes", "model", self.routes.iter().map(|row| row.model.as_ref()), faults);
+        check_unique("routes", "name", self.routes.iter().map(|row| Some(&row.name)), errors);
+        check_unique("routes", "model", self.routes.iter().map(|row| row.model.as_ref()), errors);
         let prefixes = self.routes.iter().map(|row| row.path_prefix.as_ref());
-        check_unique("routes", "path-prefix", prefixes, faults);
-        check_unique("pools", "name", self.pools.iter().map(|row| Some(&row.name)), faults);
-        check_unique("targets", "name", targets().map(|row| Some(&row.name)), faults);
-        check_unique("teams", "name", self.teams.iter().map(|row| Some(&row.name)), faults);
+        check_unique("routes", "path-prefix", prefixes, errors);
+        check_unique("pools", "name", self.pools.iter().map(|row| Some(&row.name)), errors);
+        check_unique("targets", "name", targets().map(|row| Some(&row.name)), errors);
+        check_unique("teams", "name", self.teams.iter().map(|row| Some(&row.name)), errors);
     }
 
-    fn check_routes(&self, faults: &mut Vec<DeclarationFault>) {
+    fn check_routes(&self, errors: &mut Vec<DeclarationError>) {
         for (index, route) in self.routes.iter().enumerate() {
             let place = |field: &str| format!("routes[{index}].{field}");
             if route.model.is_some() == route.path_prefix.is_some() {
                 let reason = "exactly one of model and path-prefix is needed";
-                faults.push(DeclarationFault::new(place("model"), reason));
+                errors.push(DeclarationError::new(place("model"), reason));
             }
             if let Some(prefix) = &route.path_prefix {
-                check_prefix(place("path-prefix"), prefix, faults);
+                check_prefix(place("path-prefix"), prefix, errors);
             }
             if !self.pools.iter().any(|pool| pool.name == route.pool) {
                 let reason = format!("no pool is named {:?}", route.pool);
-                faults.push(DeclarationFault::new(place("pool"), reason));
+                errors.push(DeclarationError::new(place("pool"), reason));
             }
             if route.timeout_ms == 0 {
-                faults.push(DeclarationFault::new(place("timeout-ms"), "must be above 0"));
+                errors.push(DeclarationError::new(place("timeout-ms"), "must be above 0"));
             }
         }
     }
 
-    fn check_targets(&self, faults: &mut Vec<DeclarationFault>) {
+    fn check_targets(&self, errors: &mut Vec<DeclarationError>) {
         for (pool_index, pool) in self.pools.iter().enumerate() {
             for (index, target) in pool.targets.iter().enumerate() {
                 let place = |field: &str| format!("pools[{pool_index}].targets[{index}].{field}");
                 if target.address.parse::<SocketAddr>().is_err() {
                     let reason = format!("{:?} is not ip:port", target.address);
-                    faults.push(DeclarationFault::new(place("address"), reason));
+                    errors.push(DeclarationError::new(place("address"), reason));
                 }
                 if target.slots == 0 {
-                    faults.push(DeclarationFault::new(place("slots"), "must be above 0"));
+                    errors.push(DeclarationError::new(place("slots"), "must be above 0"));
                 }
             }
         }
     }
 
-    fn check_teams(&self, faults: &mut Vec<DeclarationFault>) {
+    fn check_teams(&self, errors: &mut Vec<DeclarationError>) {
         for (index, team) in self.teams.iter().enumerate() {
             let place = |field: &str| format!("teams[{index}].{field}");
             if !(team.rate > 0.0 && team.rate <= MAX_RATE) {
-                faults
-                    .push(DeclarationFault::new(place("rate"), "must be above 0 and at most 1e9"));
+                errors
+                    .push(DeclarationError::new(place("rate"), "must be above 0 and at most 1e9"));
             }
             if !(team.burst >= 1.0 && team.burst <= MAX_RATE) {
-                faults.push(DeclarationFault::new(place("burst"), "must be from 1 to 1e9"));
+                errors.push(DeclarationError::new(place("burst"), "must be from 1 to 1e9"));
             }
             if team.weight == 0 {
-                faults.push(DeclarationFault::new(place("weight"), "must be above 0"));
+                errors.push(DeclarationError::new(place("weight"), "must be above 0"));
             }
         }
     }
 }
 
-fn check_prefix(place: String, prefix: &str, faults: &mut Vec<DeclarationFault>) {
+fn check_prefix(place: String, prefix: &str, errors: &mut Vec<DeclarationError>) {
     if !prefix.starts_with('/') || prefix.len() < 2 {
-        faults.push(DeclarationFault::new(place, "must start with / and go on"));
+        errors.push(DeclarationError::new(place, "must start with / and go on"));
     } else if RESERVED_PREFIXES.iter().any(|reserved| prefix.starts_with(reserved)) {
-        faults.push(DeclarationFault::new(
+        errors.push(DeclarationError::new(
             place,
             format!("{prefix:?} is served by the daemon itself"),
         ));
@@ -274,14 +274,14 @@
     table: &str,
     field: &str,
     names: impl Iterator<Item = Option<&'a Name>>,
-    faults: &mut Vec<DeclarationFault>,
+    errors: &mut Vec<DeclarationError>,
 ) {
     let mut seen: Vec<(usize, &Name)> =
         names.enumerate().filter_map(|(index, name)| Some((index, name?))).collect();
     for (index, name) in &seen {
         if name.is_empty() {
             let place = format!("{table}[{index}].{field}");
-            faults.push(DeclarationFault::new(place, "must not be empty"));
+            errors.push(DeclarationError::new(place, "must not be empty"));
         }
     }
     seen.sort_by(|left, right| (left.1, left.0).cmp(&(right.1, right.0)));
@@ -289,7 +289,7 @@
         if pair[0].1 == pair[1].1 {
             let place = format!("{table}[{}].{field}", pair[1].0);
             let reason = format!("{:?} stands already at {table}[{}]", pair[1].1, pair[0].0);
-            faults.push(DeclarationFault::new(place, reason));
+            errors.push(DeclarationError::new(place, reason));
         }
     }
 }
--- a/crates/cuminramp-routes/src/declarations/tests.rs
+++ b/crates/cuminramp-routes/src/declarations/tests.rs
@@ -11,16 +11,16 @@
 #[test_case(r#"{"pools": [{"name": "p", "targets": []}], "routes": [{"name": "r", "pool": "p"}]}"#, "routes[0].model"; "matches nothing")]
 #[test_case(r#"{"pools": [{"name": "p", "targets": []}], "routes": [{"name": "r", "path-prefix": "/v1/x", "pool": "p"}]}"#, "routes[0].path-prefix"; "reserved path")]
 fn a_fault_names_its_place(text: &str, place: &str) {
-    let faults = parse_declarations(text).unwrap_err();
+    let errors = parse_declarations(text).unwrap_err();
 
-    assert_eq!(faults[0].place, place);
+    assert_eq!(errors[0].place, place);
 }
 
 #[test]
 fn every_fault_is_listed() {
     let text = r#"{"teams": [{"name": "", "rate": -1, "burst": 0, "weight": 0}]}"#;
 
-    let faults = parse_declarations(text).unwrap_err();
+    let errors = parse_declarations(text).unwrap_err();
 
-    assert_eq!(faults.len(), 4);
+    assert_eq!(errors.len(), 4);
 }
--- a/crates/cuminramp-routes/src/lib.rs
+++ b/crates/cuminramp-routes/src/lib.rs
@@ -15,7 +15,7 @@
 pub use changes::plan_changes;
 pub use configuration::{ApplyError, Configuration, KeyGrant};
 pub use declarations::{
-    Charge, DeclarationFault, Declarations, Pool, PoolKind, Route, Target, Team, parse_declarations,
+    Charge, DeclarationError, Declarations, Pool, PoolKind, Route, Target, Team, parse_declarations,
 };
 pub use generation_log::{CatchUp, GenerationLog};
 pub use planner::{RoutePlanner, RouteQuery};
--- a/crates/cuminramp-standin/src/engine_http.rs
+++ b/crates/cuminramp-standin/src/engine_http.rs
@@ -61,7 +61,7 @@
     Router::new()
         .route("/v1/chat/completions", post(complete_chat))
         .route("/load", get(show_load))
-        .route("/orders", post(take_order))
+        .route("/orders", post(take_command))
         .route("/faults", post(set_faults))
         .route("/stats", get(show_stats))
         .route("/runs", get(show_runs))
@@ -99,7 +99,7 @@
     if body.stream {
         stream_answer(&body.model, receiver)
     } else {
-        whole_answer(&body.model, receiver, tokens).await
+        complete_response(&body.model, receiver, tokens).await
     }
 }
 
@@ -150,7 +150,7 @@
     ([("content-type", "text/event-stream")], body).into_response()
 }
 
-async fn whole_answer(
+async fn complete_response(
     model: &str,
     mut receiver: mpsc::UnboundedReceiver<SequenceEvent>,
     tokens: usize,
@@ -185,7 +185,7 @@
     Json(shared.core.late_report()).into_response()
 }
 
-async fn take_order(State(shared): Shared, Json(order): Json<OrderBody>) -> Response {
+async fn take_command(State(shared): Shared, Json(order): Json<OrderBody>) -> Response {
     let highest = shared.switches.fence.fetch_max(order.fence, Ordering::Relaxed);
     if order.fence < highest {
         shared.switches.late_orders.fetch_add(1, Ordering::Relaxed);
--- a/crates/cuminramp-targets/src/crashes.rs
+++ b/crates/cuminramp-targets/src/crashes.rs
@@ -33,28 +33,28 @@
 /// target died is a suspect: it runs no more than once at a time, and after `limit` crashes not at
 /// all for a while.
 #[derive(Clone, Debug)]
-pub struct CrashRegister {
+pub struct CrashTable {
     limit: u32,
     quarantine: Duration,
     records: SortedMap<u64, CrashRecord>,
 }
 
-impl CrashRegister {
+impl CrashTable {
     /// Allows `limit` crashes, then `quarantine` without a run.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
     /// let now = tokio::time::Instant::now();
-    /// let mut register = cuminramp_targets::CrashRegister::new(2, std::time::Duration::from_secs(60));
-    /// register.on_crash(7, now);
-    /// assert!(register.begin(7, now));
-    /// register.end(7);
-    /// register.on_crash(7, now);
-    /// assert!(!register.begin(7, now));
+    /// let mut table = cuminramp_targets::CrashTable::new(2, std::time::Duration::from_secs(60));
+    /// table.on_crash(7, now);
+    /// assert!(table.begin(7, now));
+    /// table.end(7);
+    /// table.on_crash(7, now);
+    /// assert!(!table.begin(7, now));
     /// # }
     /// ```
     pub fn new(limit: u32, quarantine: Duration) -> Self {
-        CrashRegister { limit, quarantine, records: SortedMap::new() }
+        CrashTable { limit, quarantine, records: SortedMap::new() }
     }
 
     /// Whether an attempt may begin now. A suspect that is running on another target has to wait
@@ -127,7 +127,7 @@
     /// How long a request is not to be run, since it took as many targets as are allowed. Unlike
     /// [`begin`](Self::begin) this holds back no suspect that has taken fewer: where callers often
     /// send the same bytes, one broken connection would hold back all of them.
-    pub fn held_back(&self, fingerprint: u64, now: Instant) -> Option<Duration> {
+    pub fn quarantine_left(&self, fingerprint: u64, now: Instant) -> Option<Duration> {
         let record = self.records.get(&fingerprint)?;
         let left = self.quarantine.checked_sub(now.saturating_duration_since(record.last))?;
         (record.crashes >= self.limit).then_some(left)
--- a/crates/cuminramp-targets/src/lib.rs
+++ b/crates/cuminramp-targets/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! - [`TargetTable`] chooses a target by expected wait and prefix, and sets failing ones aside.
 //! - [`decide_retry`] is the one place that says what follows a failed attempt.
-//! - [`CrashRegister`] keeps a request that crashes targets from taking more than a few.
+//! - [`CrashTable`] keeps a request that crashes targets from taking more than a few.
 //! - [`FairQueue`] serves waiting teams by weight.
 //! - [`OnlinePacking`] keeps online work to few targets while batch has work for the rest.
 //! - [`BatchWindow`] says how much batch work an engine may have.
@@ -20,7 +20,7 @@
     AttemptEnd, ChoiceQuery, ChoiceReason, LoadSnapshot, TargetChoice, TargetPolicy, TargetSpec,
     TargetTable, WorkKind,
 };
-pub use crashes::CrashRegister;
+pub use crashes::CrashTable;
 pub use fair_queue::FairQueue;
 pub use packing::OnlinePacking;
 pub use retry::{
--- a/tests/testsuite/tests/testsuite/support.rs
+++ b/tests/testsuite/tests/testsuite/support.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cuminramp_daemon::{Daemon, DaemonAddresses, PlatformBorders};
+use cuminramp_daemon::{Daemon, DaemonAddresses, PlatformInterfaces};
 use cuminramp_http::{CallLimits, HttpClient, read_body};
 use cuminramp_settings::{DaemonSettings, parse_settings};
 use cuminramp_standin::{
@@ -230,9 +230,12 @@
     pub(crate) fn add_host_with(&mut self, settings: DaemonSettings) -> usize {
         let runtime = new_runtime();
         let platform = self.platform.clone();
-        let borders =
-            PlatformBorders { table: platform.clone(), objects: platform.clone(), hosts: platform };
-        let daemon = runtime.block_on(Daemon::start_with(settings, borders)).unwrap();
+        let interfaces = PlatformInterfaces {
+            table: platform.clone(),
+            objects: platform.clone(),
+            hosts: platform,
+        };
+        let daemon = runtime.block_on(Daemon::start_with(settings, interfaces)).unwrap();
         let addresses = daemon.addresses();
         self.hosts.push(TestHost { runtime: Some(runtime), daemon: Some(daemon), addresses });
         self.hosts.len() - 1
