--- a/crates/cuminramp-fleet/src/demand.rs
+++ b/crates/cuminramp-fleet/src/demand.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 /// Groups of waiting items that one host tells of: one for each of its jobs in the usual case.
-pub const MOST_DEMAND_GROUPS: usize = 8;
+pub const MAX_DEMAND_GROUPS: usize = 8;
 
 /// Items of one host that are equally urgent, as a heartbeat tells it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -50,14 +50,14 @@
 ///
 /// ```
 /// use cuminramp_core::HostId;
-/// use cuminramp_fleet::{ItemDemand, share_room};
+/// use cuminramp_fleet::{ItemDemand, allocate_slots};
 /// let host = |name: &str| HostId { address: name.into(), incarnation: 1 };
 /// let soon = ItemDemand { is_late: false, due_in_ms: 1_000, items: 3 };
 /// let later = ItemDemand { due_in_ms: 9_000, ..soon };
-/// let shares = share_room(4, &[(host("a"), vec![later]), (host("b"), vec![soon])]);
+/// let shares = allocate_slots(4, &[(host("a"), vec![later]), (host("b"), vec![soon])]);
 /// assert_eq!(shares, [(host("a"), 1), (host("b"), 3)]);
 /// ```
-pub fn share_room(room: u32, demands: &[(HostId, Vec<ItemDemand>)]) -> Vec<(HostId, u32)> {
+pub fn allocate_slots(room: u32, demands: &[(HostId, Vec<ItemDemand>)]) -> Vec<(HostId, u32)> {
     let mut shares: Vec<(HostId, u32)> =
         demands.iter().map(|(host, _)| (host.clone(), 0)).collect();
     let of_hosts = demands.iter().enumerate();
--- a/crates/cuminramp-fleet/src/demand/tests.rs
+++ b/crates/cuminramp-fleet/src/demand/tests.rs
@@ -1,6 +1,6 @@
 use cuminramp_core::HostId;
 
-use super::{ItemDemand, share_room};
+use super::{ItemDemand, allocate_slots};
 
 fn host(name: &str) -> HostId {
     HostId { address: name.into(), incarnation: 1 }
@@ -20,7 +20,7 @@
 fn a_large_job_that_has_time_leaves_room_to_one_that_has_not() {
     let demands = [(host("a"), vec![demand(16_000, 100)]), (host("b"), vec![demand(6_000, 10)])];
 
-    let shares = share_room(12, &demands);
+    let shares = allocate_slots(12, &demands);
 
     assert_eq!(shares, [(host("a"), 2), (host("b"), 10)]);
 }
@@ -34,7 +34,7 @@
         (host("b"), vec![late(1_000, 8), demand(12_000, 4)]),
     ];
 
-    let shares = share_room(10, &demands);
+    let shares = allocate_slots(10, &demands);
 
     assert_eq!(shares, [(host("a"), 6), (host("b"), 4)]);
 }
@@ -44,7 +44,7 @@
     let demands =
         [(host("a"), vec![demand(1, 3)]), (host("b"), vec![]), (host("c"), vec![late(1, 2)])];
 
-    let shares: Vec<u32> = share_room(96, &demands).into_iter().map(|share| share.1).collect();
+    let shares: Vec<u32> = allocate_slots(96, &demands).into_iter().map(|share| share.1).collect();
 
     assert_eq!(shares, [3, 0, 2]);
 }
--- a/crates/cuminramp-fleet/src/drains.rs
+++ b/crates/cuminramp-fleet/src/drains.rs
@@ -33,20 +33,20 @@
 /// The newest order for each zone.
 ///
 /// ```
-/// use cuminramp_fleet::{DrainBook, ZoneDrain};
+/// use cuminramp_fleet::{DrainTable, ZoneDrain};
 /// use tokio::time::Instant;
-/// let mut book = DrainBook::default();
+/// let mut table = DrainTable::default();
 /// let drain = ZoneDrain { zone: "z1".into(), version: 7, is_drained: true };
-/// assert!(book.offer(drain.clone(), Instant::now()));
-/// assert!(!book.offer(ZoneDrain { version: 6, is_drained: false, ..drain }, Instant::now()));
-/// assert_eq!(book.drained(), ["z1".into()]);
+/// assert!(table.offer(drain.clone(), Instant::now()));
+/// assert!(!table.offer(ZoneDrain { version: 6, is_drained: false, ..drain }, Instant::now()));
+/// assert_eq!(table.drained(), ["z1".into()]);
 /// ```
 #[derive(Debug, Default)]
-pub struct DrainBook {
+pub struct DrainTable {
     records: SortedMap<AvailabilityZone, DrainRecord>,
 }
 
-impl DrainBook {
+impl DrainTable {
     /// Takes an order if it is newer than what is known of its zone; says whether it was.
     pub fn offer(&mut self, drain: ZoneDrain, now: Instant) -> bool {
         let held = self.records.get(&drain.zone);
@@ -59,7 +59,7 @@
 
     /// Takes all orders that the store holds at `version`; says which are news. A zone that is drained
     /// here and not listed there was taken back, unless the read is older than the drain.
-    pub fn take_whole(
+    pub fn apply_snapshot(
         &mut self,
         listed: Vec<ZoneDrain>,
         version: u64,
@@ -79,7 +79,7 @@
     }
 
     /// What a heartbeat tells: every drain in force, and ends of drains, all of them where it is whole.
-    pub fn tell(&self, is_whole: bool, now: Instant) -> Vec<ZoneDrain> {
+    pub fn advertised(&self, is_whole: bool, now: Instant) -> Vec<ZoneDrain> {
         let is_told = |record: &&DrainRecord| {
             let is_recent = now.duration_since(record.known_at) < TELL_ENDS_FOR;
             is_whole || record.drain.is_drained || is_recent
--- a/crates/cuminramp-fleet/src/heartbeat.rs
+++ b/crates/cuminramp-fleet/src/heartbeat.rs
@@ -28,7 +28,7 @@
 
 /// What a target said of its own load in an answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// The target, as [`name_hash`] gives it.
     pub target: u32,
     /// Requests that it ran or let wait.
@@ -48,7 +48,7 @@
 
 /// A request that broke targets, told to others so that it does not break theirs.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SuspectCount {
+pub struct CrashCount {
     /// The request's team, path and body, hashed.
     pub fingerprint: u64,
     /// Targets that it took.
@@ -93,7 +93,7 @@
     /// Whether the receiver should answer with a heartbeat of its own at once, as a new host asks.
     pub wants_answer: bool,
     /// Whether that answer should name hosts: the sender knows hardly any.
-    pub wants_known: bool,
+    pub wants_hosts: bool,
     /// Whether the store answers it.
     pub reaches_store: bool,
     /// Version of the declarations that it has in force.
@@ -103,13 +103,13 @@
     /// What it has admitted of teams, all of them or those that asked lately.
     pub usage: Vec<TeamUsage>,
     /// Whether `usage` names every team of which it admitted anything.
-    pub is_usage_whole: bool,
+    pub is_usage_full: bool,
     /// Whether it has been up for long enough to know the levels.
     pub is_settled: bool,
     /// Some of the hosts it knows.
-    pub known: Vec<KnownHost>,
+    pub known_hosts: Vec<KnownHost>,
     /// Requests that broke targets under its eyes lately.
-    pub suspects: Vec<SuspectCount>,
+    pub crash_counts: Vec<CrashCount>,
     /// Jobs that were ended through it lately.
     pub ended: Vec<EndedJob>,
     /// Zones that are drained, and those that were lately.
--- a/crates/cuminramp-fleet/src/jobs.rs
+++ b/crates/cuminramp-fleet/src/jobs.rs
@@ -16,7 +16,7 @@
 
 use checkpoint::SavedProgress;
 
-use crate::demand::{ItemDemand, MOST_DEMAND_GROUPS};
+use crate::demand::{ItemDemand, MAX_DEMAND_GROUPS};
 
 /// Pauses and estimates for items.
 #[derive(Clone, Copy, Debug)]
@@ -32,7 +32,7 @@
     /// two targets in the half minute after the first three.
     pub crash_growth: u32,
     /// The longest such pause.
-    pub longest_crash_pause: Duration,
+    pub max_crash_pause: Duration,
     /// Breaks before the first event after which an item is paused so.
     pub crash_limit: u32,
 }
@@ -44,7 +44,7 @@
             failure_pause: Duration::from_millis(150),
             crash_pause: Duration::from_millis(2_500),
             crash_growth: 3,
-            longest_crash_pause: Duration::from_secs(60),
+            max_crash_pause: Duration::from_secs(60),
             crash_limit: 3,
         }
     }
@@ -57,7 +57,7 @@
             None => self.failure_pause,
             Some(further) => {
                 let factor = self.crash_growth.saturating_pow(further);
-                self.crash_pause.saturating_mul(factor).min(self.longest_crash_pause)
+                self.crash_pause.saturating_mul(factor).min(self.max_crash_pause)
             }
         }
     }
@@ -126,7 +126,7 @@
 
 /// All jobs that this host holds.
 #[derive(Debug)]
-pub struct JobBoard {
+pub struct JobTable {
     policy: JobPolicy,
     jobs: SortedMap<Name, HeldJob>,
     run: Duration,
@@ -139,14 +139,14 @@
 /// The least and largest stretch that is believed: after an outage items wait for as long as it took.
 const STRETCH_BOUNDS: (f64, f64) = (1.0, 2.5);
 
-impl JobBoard {
+impl JobTable {
     /// Holds nothing yet.
     pub fn new(policy: JobPolicy) -> Self {
-        JobBoard { policy, jobs: SortedMap::new(), run: policy.first_run, stretch: 1.0 }
+        JobTable { policy, jobs: SortedMap::new(), run: policy.first_run, stretch: 1.0 }
     }
 
     /// Takes a job over, with the items that are finished already and what is known of others.
-    pub fn hold(&mut self, spec: JobSpec, finished: &[Name], mut known: Vec<(Name, ItemProgress)>) {
+    pub fn add(&mut self, spec: JobSpec, finished: &[Name], mut known: Vec<(Name, ItemProgress)>) {
         let entry = |item: &Arc<ItemSpec>| {
             let at = known.iter().position(|(id, _)| *id == item.id);
             let progress = at.map(|at| known.swap_remove(at).1).unwrap_or_default();
@@ -169,7 +169,7 @@
     }
 
     /// Lets a job go: it ended, is done, or another host holds it now.
-    pub fn drop_job(&mut self, id: &str) -> Option<HeldJob> {
+    pub fn remove(&mut self, id: &str) -> Option<HeldJob> {
         self.jobs.remove(id)
     }
 
@@ -189,7 +189,7 @@
         items.filter(|entry| is_due_to_run(entry, now)).count() as u32
     }
 
-    /// Items of some jobs that wait for a place now, by urgency. Beyond [`MOST_DEMAND_GROUPS`] the others count as
+    /// Items of some jobs that wait for a place now, by urgency. Beyond [`MAX_DEMAND_GROUPS`] the others count as
     /// one group, as urgent as its last: counted as urgent as its first, items that are late already
     /// would take the room of those of other hosts that can still be in time.
     pub fn demand(&self, accepts: impl Fn(&JobSpec) -> bool, now: Instant) -> Vec<ItemDemand> {
@@ -203,7 +203,7 @@
         }
         groups.retain(|group| group.items > 0);
         groups.sort_by_key(|group| (group.is_late, group.due_in_ms));
-        while groups.len() > MOST_DEMAND_GROUPS {
+        while groups.len() > MAX_DEMAND_GROUPS {
             let before_last = groups.remove(groups.len() - 2);
             if let Some(last) = groups.last_mut() {
                 last.items += before_last.items;
@@ -328,7 +328,7 @@
     }
 
     /// Gives up what may be given up by now; returns each with its job.
-    pub fn give_up_old(&mut self, now: Instant) -> Vec<(Name, FinishedItem)> {
+    pub fn drop_expired(&mut self, now: Instant) -> Vec<(Name, FinishedItem)> {
         let mut given_up = Vec::new();
         for (id, job) in self.jobs.iter_mut() {
             if job.spec.give_up > now {
--- a/crates/cuminramp-fleet/src/jobs/checkpoint.rs
+++ b/crates/cuminramp-fleet/src/jobs/checkpoint.rs
@@ -4,7 +4,7 @@
 
 use cuminramp_core::Name;
 
-use super::{ItemPhase, ItemProgress, JobBoard};
+use super::{ItemPhase, ItemProgress, JobTable};
 
 /// What the store has of an item under way.
 #[derive(Clone, Debug, Default)]
@@ -40,9 +40,9 @@
     pub items: Vec<(usize, Name, ItemProgress)>,
 }
 
-impl JobBoard {
+impl JobTable {
     /// Takes note of how far a running item came.
-    pub fn note_progress(&mut self, job: &str, index: usize, progress: &ItemProgress) {
+    pub fn record_progress(&mut self, job: &str, index: usize, progress: &ItemProgress) {
         let entry = self.jobs.get_mut(job).and_then(|job| job.items.get_mut(index));
         if let Some(entry) = entry.filter(|entry| entry.phase == ItemPhase::Running) {
             entry.progress = progress.clone();
@@ -53,9 +53,9 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use cuminramp_fleet::{JobBoard, JobPolicy};
-    /// let board = JobBoard::new(JobPolicy::default());
-    /// assert!(board.unsaved(Duration::from_millis(500)).is_empty());
+    /// use cuminramp_fleet::{JobTable, JobPolicy};
+    /// let table = JobTable::new(JobPolicy::default());
+    /// assert!(table.unsaved(Duration::from_millis(500)).is_empty());
     /// ```
     pub fn unsaved(&self, least: Duration) -> Vec<UnsavedJob> {
         let mut unsaved = Vec::new();
@@ -75,7 +75,7 @@
     }
 
     /// The store has this progress of an item now.
-    pub fn note_saved(&mut self, job: &str, index: usize, progress: &ItemProgress) {
+    pub fn mark_saved(&mut self, job: &str, index: usize, progress: &ItemProgress) {
         let entry = self.jobs.get_mut(job).and_then(|job| job.items.get_mut(index));
         if let Some(entry) = entry {
             entry.saved = SavedProgress::of(progress);
--- a/crates/cuminramp-fleet/src/jobs/tests.rs
+++ b/crates/cuminramp-fleet/src/jobs/tests.rs
@@ -3,10 +3,10 @@
 
 use tokio::time::{Instant, advance};
 
-use crate::demand::MOST_DEMAND_GROUPS;
+use crate::demand::MAX_DEMAND_GROUPS;
 
 use super::{
-    FinishedItem, ItemFailure, ItemOutcome, ItemProgress, ItemSpec, JobBoard, JobPolicy, JobSpec,
+    FinishedItem, ItemFailure, ItemOutcome, ItemProgress, ItemSpec, JobPolicy, JobSpec, JobTable,
 };
 
 fn item(id: &str) -> Arc<ItemSpec> {
@@ -33,16 +33,16 @@
     }
 }
 
-fn board(jobs: Vec<JobSpec>) -> JobBoard {
-    let mut board = JobBoard::new(JobPolicy::default());
+fn table(jobs: Vec<JobSpec>) -> JobTable {
+    let mut table = JobTable::new(JobPolicy::default());
     for job in jobs {
-        board.hold(job, &[], vec![]);
+        table.add(job, &[], vec![]);
     }
-    board
+    table
 }
 
-fn take(board: &mut JobBoard) -> Option<(String, usize, ItemProgress)> {
-    let start = board.next(|_| true, Instant::now())?;
+fn take(table: &mut JobTable) -> Option<(String, usize, ItemProgress)> {
+    let start = table.next(|_| true, Instant::now())?;
     Some((start.job.to_string(), start.index, start.progress))
 }
 
@@ -54,21 +54,21 @@
 /// can would be late as well, and every caller would be disappointed.
 #[tokio::test(start_paused = true)]
 async fn items_that_cannot_be_in_time_wait_behind_those_that_can() {
-    let mut board =
-        board(vec![job("late", 3, &["l"]), job("soon", 10, &["s"]), job("far", 20, &["f"])]);
+    let mut table =
+        table(vec![job("late", 3, &["l"]), job("soon", 10, &["s"]), job("far", 20, &["f"])]);
 
-    let order: Vec<String> = std::iter::from_fn(|| take(&mut board)).map(|taken| taken.0).collect();
+    let order: Vec<String> = std::iter::from_fn(|| take(&mut table)).map(|taken| taken.0).collect();
 
     assert_eq!(order, ["soon", "far", "late"]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_item_that_gave_way_goes_on_from_its_last_event() {
-    let mut board = board(vec![job("j", 10, &["a"])]);
-    let first = take(&mut board);
+    let mut table = table(vec![job("j", 10, &["a"])]);
+    let first = take(&mut table);
 
-    let given_up = board.fail("j", 0, ItemFailure::GaveWay, progress(7), Instant::now());
-    let second = take(&mut board);
+    let given_up = table.fail("j", 0, ItemFailure::GaveWay, progress(7), Instant::now());
+    let second = take(&mut table);
 
     assert_eq!(first.map(|taken| taken.2.last_event), Some(None));
     assert_eq!(given_up, None);
@@ -78,25 +78,25 @@
 /// A scanned page can't be read, whichever target tries. The rest of the job must not wait for it.
 #[tokio::test(start_paused = true)]
 async fn an_item_that_can_never_be_done_ends_with_an_error_of_its_own() {
-    let mut board = board(vec![job("j", 10, &["a", "b"])]);
-    take(&mut board);
+    let mut table = table(vec![job("j", 10, &["a", "b"])]);
+    take(&mut table);
 
     let given_up =
-        board.fail("j", 0, ItemFailure::Impossible, ItemProgress::default(), Instant::now());
+        table.fail("j", 0, ItemFailure::Impossible, ItemProgress::default(), Instant::now());
 
     let outcome = ItemOutcome::GivenUp;
     assert_eq!(given_up, Some(FinishedItem { index: 0, outcome, is_saved: false }));
-    assert_eq!(take(&mut board).map(|taken| taken.1), Some(1));
+    assert_eq!(take(&mut table).map(|taken| taken.1), Some(1));
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_item_is_given_up_after_as_many_failures_as_its_route_allows() {
-    let mut board = board(vec![job("j", 10, &["a"])]);
+    let mut table = table(vec![job("j", 10, &["a"])]);
 
     let mut outcomes = Vec::new();
     for _ in 0..3 {
-        take(&mut board);
-        let end = board.fail("j", 0, ItemFailure::Failed, ItemProgress::default(), Instant::now());
+        take(&mut table);
+        let end = table.fail("j", 0, ItemFailure::Failed, ItemProgress::default(), Instant::now());
         outcomes.push(end.is_some());
         advance(Duration::from_secs(1)).await;
     }
@@ -108,16 +108,16 @@
 /// target down, and online callers with them.
 #[tokio::test(start_paused = true)]
 async fn an_item_at_which_targets_break_is_held_back() {
-    let mut board = board(vec![job("j", 10, &["a"])]);
+    let mut table = table(vec![job("j", 10, &["a"])]);
     for _ in 0..3 {
-        take(&mut board);
-        board.fail("j", 0, ItemFailure::Broken, ItemProgress::default(), Instant::now());
+        take(&mut table);
+        table.fail("j", 0, ItemFailure::Broken, ItemProgress::default(), Instant::now());
         advance(Duration::from_millis(200)).await;
     }
 
-    let soon = take(&mut board);
+    let soon = take(&mut table);
     advance(Duration::from_secs(20)).await;
-    let later = take(&mut board);
+    let later = take(&mut table);
 
     assert!(soon.is_none());
     assert!(later.is_some());
@@ -128,14 +128,14 @@
 /// without any, an item that does crash targets takes down one after another.
 #[tokio::test(start_paused = true)]
 async fn pauses_of_an_item_at_which_targets_break_begin_short_and_grow() {
-    let mut board = board(vec![job("j", 10, &["a"])]);
+    let mut table = table(vec![job("j", 10, &["a"])]);
     let began = Instant::now();
     let mut starts = Vec::new();
 
     while starts.len() < 7 {
-        if take(&mut board).is_some() {
+        if take(&mut table).is_some() {
             starts.push(began.elapsed().as_millis() / 100);
-            board.fail("j", 0, ItemFailure::Broken, ItemProgress::default(), Instant::now());
+            table.fail("j", 0, ItemFailure::Broken, ItemProgress::default(), Instant::now());
         }
         advance(Duration::from_millis(50)).await;
     }
@@ -145,28 +145,28 @@
 
 #[tokio::test(start_paused = true)]
 async fn old_items_are_given_up_and_their_tokens_no_longer_wait() {
-    let mut board = board(vec![job("j", 10, &["a", "b"])]);
-    assert_eq!(board.get("j").map(|job| job.unfinished_tokens()), Some(20));
+    let mut table = table(vec![job("j", 10, &["a", "b"])]);
+    assert_eq!(table.get("j").map(|job| job.unfinished_tokens()), Some(20));
 
     advance(Duration::from_secs(61)).await;
-    let given_up = board.give_up_old(Instant::now());
+    let given_up = table.drop_expired(Instant::now());
 
     assert_eq!(given_up.len(), 2);
     assert_eq!(
-        board.get("j").map(|job| (job.unfinished_tokens(), job.is_finished())),
+        table.get("j").map(|job| (job.unfinished_tokens(), job.is_finished())),
         Some((0, true))
     );
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_job_taken_over_leaves_out_what_is_finished() {
-    let mut board = JobBoard::new(JobPolicy::default());
+    let mut table = JobTable::new(JobPolicy::default());
     let known = vec![("b".into(), progress(4))];
 
-    board.hold(job("j", 10, &["a", "b"]), &["a".into()], known);
+    table.add(job("j", 10, &["a", "b"]), &["a".into()], known);
 
-    assert_eq!(take(&mut board), Some(("j".into(), 1, progress(4))));
-    assert!(take(&mut board).is_none());
+    assert_eq!(take(&mut table), Some(("j".into(), 1, progress(4))));
+    assert!(take(&mut table).is_none());
 }
 
 /// A host is killed while its items run. What the store has goes on elsewhere; a write for each event
@@ -174,16 +174,16 @@
 #[tokio::test(start_paused = true)]
 async fn progress_is_named_for_saving_once_it_is_worth_a_write() {
     let least = Duration::from_millis(600);
-    let mut board = board(vec![job("j", 20, &["a", "b"])]);
-    take(&mut board);
-    take(&mut board);
+    let mut table = table(vec![job("j", 20, &["a", "b"])]);
+    take(&mut table);
+    take(&mut table);
     let little = ItemProgress { ran: Duration::from_millis(100), ..progress(5) };
-    board.note_progress("j", 0, &progress(40));
-    board.note_progress("j", 1, &little);
+    table.record_progress("j", 0, &progress(40));
+    table.record_progress("j", 1, &little);
 
-    let first = board.unsaved(least);
-    board.note_saved("j", 0, &progress(40));
-    let second = board.unsaved(least);
+    let first = table.unsaved(least);
+    table.mark_saved("j", 0, &progress(40));
+    let second = table.unsaved(least);
 
     let named: Vec<usize> = first[0].items.iter().map(|item| item.0).collect();
     assert_eq!(named, [0]);
@@ -194,13 +194,13 @@
 /// store's room for good.
 #[tokio::test(start_paused = true)]
 async fn a_finished_item_says_whether_its_progress_was_saved() {
-    let mut board = board(vec![job("j", 20, &["a", "b"])]);
-    take(&mut board);
-    take(&mut board);
-    board.note_saved("j", 0, &progress(40));
+    let mut table = table(vec![job("j", 20, &["a", "b"])]);
+    take(&mut table);
+    take(&mut table);
+    table.mark_saved("j", 0, &progress(40));
 
-    let saved = board.complete("j", 0, progress(50), Instant::now()).unwrap();
-    let unsaved = board.complete("j", 1, progress(50), Instant::now()).unwrap();
+    let saved = table.complete("j", 0, progress(50), Instant::now()).unwrap();
+    let unsaved = table.complete("j", 1, progress(50), Instant::now()).unwrap();
 
     assert!(saved.is_saved && !unsaved.is_saved);
 }
@@ -210,18 +210,18 @@
 /// the one behind it.
 #[tokio::test(start_paused = true)]
 async fn an_item_without_time_for_giving_way_waits_behind_one_that_has_it() {
-    let mut board = board(vec![job("seen", 60, &["a", "b", "c", "d", "e", "f", "g", "h"])]);
+    let mut table = table(vec![job("seen", 60, &["a", "b", "c", "d", "e", "f", "g", "h"])]);
     for index in 0..8 {
-        take(&mut board);
+        take(&mut table);
         advance(Duration::from_secs(10)).await;
         let ran = ItemProgress { ran: Duration::from_secs(5), ..progress(9) };
-        board.complete("seen", index, ran, Instant::now());
+        table.complete("seen", index, ran, Instant::now());
     }
-    board.hold(job("brink", 6, &["x"]), &[], vec![]);
-    board.hold(job("time", 15, &["y"]), &[], vec![]);
+    table.add(job("brink", 6, &["x"]), &[], vec![]);
+    table.add(job("time", 15, &["y"]), &[], vec![]);
 
-    let demand = board.demand(|_| true, Instant::now());
-    let first = take(&mut board).map(|taken| taken.0);
+    let demand = table.demand(|_| true, Instant::now());
+    let first = take(&mut table).map(|taken| taken.0);
 
     assert_eq!(first.as_deref(), Some("time"));
     assert_eq!(demand.iter().map(|group| group.is_late).collect::<Vec<_>>(), [false, true]);
@@ -232,11 +232,11 @@
 #[tokio::test(start_paused = true)]
 async fn demand_stays_short_however_many_jobs_wait() {
     let jobs = (0..50).map(|index| job(&format!("j{index}"), 20 + index, &["a", "b"])).collect();
-    let board = board(jobs);
+    let table = table(jobs);
 
-    let demand = board.demand(|_| true, Instant::now());
+    let demand = table.demand(|_| true, Instant::now());
 
-    assert_eq!(demand.len(), MOST_DEMAND_GROUPS);
+    assert_eq!(demand.len(), MAX_DEMAND_GROUPS);
     assert_eq!(demand.iter().map(|group| group.items).sum::<u32>(), 100);
     assert_eq!(demand.last().map(|group| group.due_in_ms), Some(69_000));
 }
--- a/crates/cuminramp-fleet/src/message.rs
+++ b/crates/cuminramp-fleet/src/message.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::heartbeat::HostHeartbeat;
-use crate::slots::{OwnerClaim, SlotAnswer, SlotAsk, SlotOrder, SlotReport};
+use crate::slots::{OwnerFailure, SlotCommand, SlotReport, SlotRequest, SlotResponse};
 
 /// One datagram. Each kind may get lost, come twice or come late without harm.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -13,11 +13,11 @@
     /// What a host has in flight in a group, to the owner of its slots.
     Report(SlotReport),
     /// A request's question for a slot.
-    Ask(SlotAsk),
+    Request(SlotRequest),
     /// The answer to it.
-    Answer(SlotAnswer),
+    Response(SlotResponse),
     /// What a host does with its batch items.
-    Order(SlotOrder),
+    Command(SlotCommand),
     /// An owner was found silent.
-    Claim(OwnerClaim),
+    OwnerFailure(OwnerFailure),
 }
--- a/crates/cuminramp-fleet/src/outliers.rs
+++ b/crates/cuminramp-fleet/src/outliers.rs
@@ -66,46 +66,46 @@
         }
     }
 
-    fn is_doubtful(&self) -> bool {
+    fn is_outlier(&self) -> bool {
         let all = self.failures + self.successes;
         self.failures >= LEAST_FAILURES && self.failures >= DOUBT_SHARE * all
     }
 }
 
 #[derive(Debug)]
-struct ToldOutcomes {
+struct ReceivedOutcomes {
     outcomes: Vec<TargetOutcomes>,
-    heard_at: Instant,
+    received_at: Instant,
 }
 
 /// What came of sends, by target.
 #[derive(Debug)]
-pub(crate) struct HealthBook {
+pub(crate) struct OutlierDetector {
     own: SortedMap<u32, (FadedCounts, Instant)>,
-    told: SortedMap<HostId, ToldOutcomes>,
+    told: SortedMap<HostId, ReceivedOutcomes>,
     /// Faded counts of targets that have failures, of all hosts together.
     reviewed: SortedMap<u32, FadedCounts>,
     next_review: Option<Instant>,
-    /// Targets that were doubtful when [`HealthBook::take_changes`] was last asked.
+    /// Targets that were doubtful when [`OutlierDetector::take_changes`] was last asked.
     reported: Vec<u32>,
 }
 
 /// A target was set aside, or is used again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct DoubtChange {
+pub struct OutlierChange {
     /// The target, as [`name_hash`](crate::name_hash) gives it.
     pub target: u32,
     /// Whether it is set aside now.
-    pub is_doubtful: bool,
+    pub is_outlier: bool,
     /// Failures of all hosts lately, faded.
     pub failures: f64,
     /// Whole answers to all hosts lately, faded.
     pub successes: f64,
 }
 
-impl HealthBook {
+impl OutlierDetector {
     pub(crate) fn new() -> Self {
-        HealthBook {
+        OutlierDetector {
             own: SortedMap::new(),
             told: SortedMap::new(),
             reviewed: SortedMap::new(),
@@ -115,19 +115,19 @@
     }
 
     /// Targets that were set aside or are used again since this was last asked.
-    pub(crate) fn take_changes(&mut self, now: Instant) -> Vec<DoubtChange> {
+    pub(crate) fn take_changes(&mut self, now: Instant) -> Vec<OutlierChange> {
         self.review(now);
         let doubtful: Vec<u32> = self
             .reviewed
             .iter()
-            .filter(|(_, counts)| counts.is_doubtful())
+            .filter(|(_, counts)| counts.is_outlier())
             .map(|(target, _)| *target)
             .collect();
         let before = std::mem::replace(&mut self.reported, doubtful);
-        let change = |target: u32, is_doubtful: bool| {
+        let change = |target: u32, is_outlier: bool| {
             let counts = self.reviewed.get(&target).copied().unwrap_or_default();
             let FadedCounts { failures, successes } = counts;
-            DoubtChange { target, is_doubtful, failures, successes }
+            OutlierChange { target, is_outlier, failures, successes }
         };
         let gone = before.iter().filter(|target| !self.reported.contains(target));
         let new = self.reported.iter().filter(|target| !before.contains(target));
@@ -136,7 +136,7 @@
     }
 
     /// A send to a target failed, or was answered as it should be.
-    pub(crate) fn saw(&mut self, target: u32, is_failure: bool, now: Instant) {
+    pub(crate) fn record(&mut self, target: u32, is_failure: bool, now: Instant) {
         let (counts, at) = self.own.get_or_insert_with(target, || (FadedCounts::default(), now));
         *counts = counts.faded(now.saturating_duration_since(*at));
         *at = now;
@@ -158,11 +158,11 @@
     }
 
     /// Takes what a host tells in place of what it told before.
-    pub(crate) fn hear(&mut self, host: &HostId, outcomes: Vec<TargetOutcomes>, now: Instant) {
+    pub(crate) fn receive(&mut self, host: &HostId, outcomes: Vec<TargetOutcomes>, now: Instant) {
         if outcomes.is_empty() {
             self.told.remove(host);
         } else {
-            self.told.insert(host.clone(), ToldOutcomes { outcomes, heard_at: now });
+            self.told.insert(host.clone(), ReceivedOutcomes { outcomes, received_at: now });
         }
     }
 
@@ -198,7 +198,7 @@
         });
         let mut sums: SortedMap<u32, FadedCounts> = SortedMap::new();
         for told in self.told.values() {
-            let passed = now.saturating_duration_since(told.heard_at);
+            let passed = now.saturating_duration_since(told.received_at);
             for outcome in &told.outcomes {
                 let counts = FadedCounts::of(outcome).faded(passed);
                 let sum = sums.get_or_insert_with(outcome.target, FadedCounts::default);
@@ -217,8 +217,8 @@
     }
 
     /// Whether a target fails too much to be sent what may run only once.
-    pub(crate) fn is_doubtful(&self, target: u32) -> bool {
-        self.reviewed.get(&target).is_some_and(FadedCounts::is_doubtful)
+    pub(crate) fn is_outlier(&self, target: u32) -> bool {
+        self.reviewed.get(&target).is_some_and(FadedCounts::is_outlier)
     }
 
     /// The part of the sends to a target that failed lately.
--- a/crates/cuminramp-fleet/src/outliers/tests.rs
+++ b/crates/cuminramp-fleet/src/outliers/tests.rs
@@ -3,10 +3,10 @@
 use cuminramp_core::{HostId, Name, RandomSource, SeededRandom};
 use tokio::time::{Instant, advance};
 
-use super::{HealthBook, LEAST_FAILURES, TargetOutcomes};
+use super::{LEAST_FAILURES, OutlierDetector, TargetOutcomes};
 use crate::homes::ZoneLimit;
 use crate::placement::{
-    ColdShare, FleetTarget, OnlineNeed, PlacementDecision, PlacementPolicy, TargetBoard,
+    ColdShare, FleetTarget, PlacementDecision, PlacementPolicy, PlacementRequest, PlacementTable,
     TargetPhase, WorkKind,
 };
 
@@ -20,58 +20,58 @@
     vec![TargetOutcomes { target: TARGET, failures: failures * 16, successes: successes * 16 }]
 }
 
-fn reviewed(mut book: HealthBook) -> bool {
-    book.review(Instant::now());
-    book.is_doubtful(TARGET)
+fn reviewed(mut detector: OutlierDetector) -> bool {
+    detector.review(Instant::now());
+    detector.is_outlier(TARGET)
 }
 
 /// Nearly all of a target's answers come whole, and one in twenty gets lost on its way. Set aside, half
 /// of the targets would stand idle while callers wait.
 #[tokio::test(start_paused = true)]
 async fn a_target_that_loses_few_answers_stays_in_use() {
-    let mut book = HealthBook::new();
+    let mut detector = OutlierDetector::new();
     for turn in 0..60 {
-        book.saw(TARGET, turn % 20 == 0, Instant::now());
+        detector.record(TARGET, turn % 20 == 0, Instant::now());
     }
 
-    assert!(!reviewed(book));
+    assert!(!reviewed(detector));
 }
 
 /// The network between one host and a target is broken. Every other host can use the target, and must
 /// not take that host's word for it.
 #[tokio::test(start_paused = true)]
 async fn one_host_alone_sets_no_target_aside_for_others() {
-    let mut book = HealthBook::new();
-    book.hear(&host("a"), told(8, 0), Instant::now());
+    let mut detector = OutlierDetector::new();
+    detector.receive(&host("a"), told(8, 0), Instant::now());
 
-    assert!(!reviewed(book));
+    assert!(!reviewed(detector));
 }
 
 #[tokio::test(start_paused = true)]
 async fn what_two_hosts_saw_sets_a_target_aside_until_it_fades() {
-    let mut book = HealthBook::new();
-    book.hear(&host("a"), told(1, 0), Instant::now());
-    book.hear(&host("b"), told(1, 0), Instant::now());
+    let mut detector = OutlierDetector::new();
+    detector.receive(&host("a"), told(1, 0), Instant::now());
+    detector.receive(&host("b"), told(1, 0), Instant::now());
 
-    book.review(Instant::now());
-    let at_once = book.is_doubtful(TARGET);
+    detector.review(Instant::now());
+    let at_once = detector.is_outlier(TARGET);
     advance(Duration::from_secs(4)).await;
-    book.review(Instant::now());
+    detector.review(Instant::now());
 
     assert!(at_once);
-    assert!(!book.is_doubtful(TARGET));
+    assert!(!detector.is_outlier(TARGET));
 }
 
 /// A target that has recovered must be back in seconds, however many requests it failed before.
 #[tokio::test(start_paused = true)]
 async fn a_target_that_failed_hundreds_is_back_within_seconds() {
-    let mut book = HealthBook::new();
+    let mut detector = OutlierDetector::new();
     for _ in 0..300 {
-        book.saw(TARGET, true, Instant::now());
+        detector.record(TARGET, true, Instant::now());
     }
 
     advance(Duration::from_secs(6)).await;
-    let left = book.tell(Instant::now())[0].failures;
+    let left = detector.tell(Instant::now())[0].failures;
 
     assert!(f64::from(left) / 16.0 < LEAST_FAILURES);
 }
@@ -96,7 +96,7 @@
         zone: "z".into(),
         slots: 8,
         phase: TargetPhase::Serving,
-        born_ms: 1,
+        started_at_ms: 1,
         cold_for: Duration::ZERO,
     }
 }
@@ -105,35 +105,35 @@
     (0..BROKEN).any(|index| id == format!("t{index}"))
 }
 
-fn make_boards() -> Vec<TargetBoard> {
+fn make_placements() -> Vec<PlacementTable> {
     let make = |_| {
-        let mut board = TargetBoard::new("z".into(), PlacementPolicy::default());
-        (0..TARGETS).for_each(|index| board.put(target(index)));
-        board
+        let mut placement = PlacementTable::new("z".into(), PlacementPolicy::default());
+        (0..TARGETS).for_each(|index| placement.put(target(index)));
+        placement
     };
     (0..HOSTS).map(make).collect()
 }
 
-fn exchange_news(boards: &mut [TargetBoard]) {
+fn exchange_updates(placements: &mut [PlacementTable]) {
     let (now, group) = (Instant::now(), target(0).group());
-    let news: Vec<_> = boards
+    let news: Vec<_> = placements
         .iter()
-        .map(|board| (board.own_loads(&group), board.own_outcomes(&group, now)))
+        .map(|placement| (placement.own_loads(&group), placement.own_outcomes(&group, now)))
         .collect();
-    for (to, board) in boards.iter_mut().enumerate() {
+    for (to, placement) in placements.iter_mut().enumerate() {
         for (from, (loads, outcomes)) in news.iter().enumerate().filter(|(from, _)| *from != to) {
             let id = host(&format!("h{from}"));
-            board.hear(&id, loads.clone());
-            board.hear_outcomes(&id, outcomes.clone(), now);
+            placement.receive_loads(&id, loads.clone());
+            placement.receive_outcomes(&id, outcomes.clone(), now);
         }
     }
 }
 
-fn send(board: &mut TargetBoard, random: &mut SeededRandom) -> Option<Name> {
+fn send(placement: &mut PlacementTable, random: &mut SeededRandom) -> Option<Name> {
     let objective = Duration::from_millis(300);
     let zones = &ZoneLimit::none();
-    let need = OnlineNeed { pool: "p", objective, is_again: false, tried: &[], zones };
-    match board.place(&need, &ColdShare::Owner, random, Instant::now()) {
+    let request = PlacementRequest { pool: "p", objective, is_retry: false, tried: &[], zones };
+    match placement.place(&request, &ColdShare::Owner, random, Instant::now()) {
         PlacementDecision::Send(target) => Some(target.id),
         _ => None,
     }
@@ -144,11 +144,11 @@
 /// spare the others; at most three in a hundred sends may fail.
 #[tokio::test(start_paused = true)]
 async fn a_fleet_before_failing_targets_loses_few_requests() {
-    let mut boards = make_boards();
+    let mut placements = make_placements();
     let mut random = SeededRandom::new(11);
     let mut held: Vec<(Instant, usize, Name)> = Vec::new();
     let (mut sends, mut failures) = (0_u32, 0_u32);
-    let (began, mut next_news) = (Instant::now(), Instant::now());
+    let (began, mut next_updates) = (Instant::now(), Instant::now());
 
     while began.elapsed() < LOAD_TIME {
         advance(ARRIVAL).await;
@@ -156,23 +156,23 @@
         held.retain(|(until, host, id)| {
             let is_held = *until > now;
             if !is_held {
-                boards[*host].end(id, WorkKind::Online);
-                boards[*host].saw_success(id, now);
+                placements[*host].end(id, WorkKind::Online);
+                placements[*host].record_success(id, now);
             }
             is_held
         });
-        if now >= next_news {
-            exchange_news(&mut boards);
-            next_news = now + NEWS;
+        if now >= next_updates {
+            exchange_updates(&mut placements);
+            next_updates = now + NEWS;
         }
         let host = random.below(HOSTS);
-        let Some(id) = send(&mut boards[host], &mut random) else { continue };
+        let Some(id) = send(&mut placements[host], &mut random) else { continue };
         sends += 1;
         if is_broken(&id) {
             failures += 1;
-            boards[host].saw_failure(&id, now);
+            placements[host].record_failure(&id, now);
         } else {
-            boards[host].begin(&id, WorkKind::Online);
+            placements[host].begin(&id, WorkKind::Online);
             held.push((now + HOLD, host, id));
         }
     }
--- a/crates/cuminramp-fleet/src/peers.rs
+++ b/crates/cuminramp-fleet/src/peers.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::heartbeat::{HostHeartbeat, KnownHost};
-use crate::schedule::HeartbeatRhythm;
+use crate::schedule::HeartbeatSchedule;
 use crate::steering::{SteeringArea, SteeringBounds};
 
 /// How long a host that is not heard is still named to callers where hardly any other is: longer, and
@@ -27,7 +27,7 @@
     /// Where it is.
     pub host: KnownHost,
     /// When a heartbeat came last; `None` if none has come from this run.
-    pub heard_at: Option<Instant>,
+    pub last_heartbeat_at: Option<Instant>,
     /// When this run became known.
     pub known_at: Instant,
     /// The newest heartbeat.
@@ -48,14 +48,14 @@
 pub struct PeerTable {
     me: KnownHost,
     policy: PeerPolicy,
-    rhythm: HeartbeatRhythm,
+    schedule: HeartbeatSchedule,
     peers: SortedMap<Name, PeerRecord>,
 }
 
 impl PeerTable {
     /// Knows nobody yet.
     pub fn new(me: KnownHost, policy: PeerPolicy) -> Self {
-        PeerTable { me, policy, rhythm: HeartbeatRhythm::new(1, 1), peers: SortedMap::new() }
+        PeerTable { me, policy, schedule: HeartbeatSchedule::new(1, 1), peers: SortedMap::new() }
     }
 
     /// This host.
@@ -64,7 +64,7 @@
     }
 
     /// Takes note of a host that a row or another host names; says whether this run was unknown.
-    pub fn learn(&mut self, host: &KnownHost, now: Instant) -> bool {
+    pub fn discover(&mut self, host: &KnownHost, now: Instant) -> bool {
         if host.address == self.me.address {
             return false;
         }
@@ -74,22 +74,22 @@
         }
         let record = PeerRecord {
             host: host.clone(),
-            heard_at: None,
+            last_heartbeat_at: None,
             known_at: now,
             heartbeat: None,
             has_left: false,
         };
         self.peers.insert(host.address.clone(), record);
-        self.rhythm = self.count_rhythm();
+        self.schedule = self.make_schedule();
         true
     }
 
     /// Takes a heartbeat; `false` if it is older than what is known.
-    pub fn hear(&mut self, heartbeat: HostHeartbeat, now: Instant) -> bool {
+    pub fn receive_heartbeat(&mut self, heartbeat: HostHeartbeat, now: Instant) -> bool {
         if heartbeat.host.address == self.me.address {
             return false;
         }
-        self.learn(&heartbeat.host, now);
+        self.discover(&heartbeat.host, now);
         let Some(record) = self.peers.get_mut(&heartbeat.host.address) else {
             return false;
         };
@@ -98,7 +98,7 @@
         if is_old {
             return false;
         }
-        record.heard_at = Some(now);
+        record.last_heartbeat_at = Some(now);
         record.has_left = heartbeat.has_left;
         record.heartbeat = Some(heartbeat);
         true
@@ -106,16 +106,16 @@
 
     /// Forgets when every host was last heard, as after a pause of this host: what it believes is
     /// as old as the pause was long.
-    pub fn doubt_all(&mut self) {
+    pub fn reset_liveness(&mut self) {
         for (_, record) in self.peers.iter_mut() {
-            record.heard_at = None;
+            record.last_heartbeat_at = None;
         }
     }
 
     /// Takes a host out that the table no longer lists.
     pub fn forget(&mut self, address: &str) {
         self.peers.remove(address);
-        self.rhythm = self.count_rhythm();
+        self.schedule = self.make_schedule();
     }
 
     /// Every other host.
@@ -129,35 +129,35 @@
     }
 
     /// How often hosts send heartbeats now.
-    pub fn rhythm(&self) -> HeartbeatRhythm {
-        self.rhythm
+    pub fn schedule(&self) -> HeartbeatSchedule {
+        self.schedule
     }
 
-    fn count_rhythm(&self) -> HeartbeatRhythm {
+    fn make_schedule(&self) -> HeartbeatSchedule {
         let others = self.peers.values().filter(|record| !record.has_left);
         let (all, near) = others.fold((1, 1), |(all, near), record| {
             (all + 1, near + usize::from(record.host.zone == self.me.zone))
         });
-        HeartbeatRhythm::new(all, near)
+        HeartbeatSchedule::new(all, near)
     }
 
-    fn silence(&self, record: &PeerRecord) -> Duration {
-        self.rhythm.silence(record.host.zone == self.me.zone)
+    fn timeout(&self, record: &PeerRecord) -> Duration {
+        self.schedule.timeout(record.host.zone == self.me.zone)
     }
 
     /// Whether a host was heard lately. Until then callers are sent to it, and its share of rates
     /// need not be kept for it.
-    pub fn is_heard(&self, record: &PeerRecord, now: Instant) -> bool {
-        record.heard_at.is_some_and(|at| now.duration_since(at) < self.silence(record))
+    pub fn is_alive(&self, record: &PeerRecord, now: Instant) -> bool {
+        record.last_heartbeat_at.is_some_and(|at| now.duration_since(at) < self.timeout(record))
     }
 
     /// Hosts that were heard lately, and all that may be admitting requests, this one included.
-    pub fn heard_of_all(&self, now: Instant) -> (usize, usize) {
+    pub fn count_alive(&self, now: Instant) -> (usize, usize) {
         let others = self.peers.values().filter(|record| !record.has_left);
         let (mut heard, mut all) = (1, 1);
         for record in others {
             all += 1;
-            heard += usize::from(self.is_heard(record, now));
+            heard += usize::from(self.is_alive(record, now));
         }
         (heard, all)
     }
@@ -174,14 +174,14 @@
         if record.host.incarnation != id.incarnation || record.has_left {
             return record.host.incarnation > id.incarnation || record.has_left;
         }
-        let since = record.heard_at.unwrap_or(record.known_at);
-        now.duration_since(since) > self.policy.lost.max(self.silence(record) * 2)
+        let since = record.last_heartbeat_at.unwrap_or(record.known_at);
+        now.duration_since(since) > self.policy.lost.max(self.timeout(record) * 2)
     }
 
     /// Whether at least half of the others are heard: a host that hears fewer is itself the one cut
     /// off, and takes over nothing.
-    pub fn hears_most(&self, now: Instant) -> bool {
-        let (heard, all) = self.heard_of_all(now);
+    pub fn has_majority(&self, now: Instant) -> bool {
+        let (heard, all) = self.count_alive(now);
         heard * 2 >= all
     }
 
@@ -194,7 +194,7 @@
         }
         for record in self.peers.values() {
             let is_ready = record.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.is_ready);
-            if is_ready && !record.has_left && self.is_heard(record, now) {
+            if is_ready && !record.has_left && self.is_alive(record, now) {
                 live.push((record.id(), &record.host.zone));
             }
         }
@@ -207,7 +207,7 @@
         let able: Vec<&PeerRecord> = self
             .peers
             .values()
-            .filter(|record| !record.has_left && self.is_heard(record, now))
+            .filter(|record| !record.has_left && self.is_alive(record, now))
             .filter(|record| {
                 record.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.reaches_store)
             })
@@ -224,17 +224,17 @@
 
     /// Whether more than half of the hosts of a zone are heard, this one included; of all hosts where the
     /// zone has none. No two hosts that do not hear each other both hear most.
-    pub fn hears_most_of(&self, zone: &str, now: Instant) -> bool {
+    pub fn has_majority_in(&self, zone: &str, now: Instant) -> bool {
         let in_zone: Vec<&PeerRecord> =
             self.peers.values().filter(|record| *record.host.zone == *zone).collect();
         let present = in_zone.iter().filter(|record| !record.has_left).count();
         let own = usize::from(*self.me.zone == *zone);
         if present + own == 0 {
-            let (heard, all) = self.heard_of_all(now);
+            let (heard, all) = self.count_alive(now);
             return heard * 2 > all;
         }
-        let is_heard = |record: &&&PeerRecord| !record.has_left && self.is_heard(record, now);
-        (in_zone.iter().filter(is_heard).count() + own) * 2 > present + own
+        let is_alive = |record: &&&PeerRecord| !record.has_left && self.is_alive(record, now);
+        (in_zone.iter().filter(is_alive).count() + own) * 2 > present + own
     }
 
     /// Whether a zone has hosts and none of them is heard: it is lost, or cut off from this one.
@@ -244,7 +244,7 @@
         }
         let present = |record: &&PeerRecord| *record.host.zone == *zone && !record.has_left;
         let mut known = self.peers.values().filter(present).peekable();
-        known.peek().is_some() && known.all(|record| !self.is_heard(record, now))
+        known.peek().is_some() && known.all(|record| !self.is_alive(record, now))
     }
 
     /// How many hosts come before this one in the order that rendezvous gives them for a key.
@@ -271,16 +271,16 @@
         }
         for record in self.peers.values() {
             let is_ready = record.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.is_ready);
-            if is_ready && !record.has_left && self.is_heard(record, now) {
+            if is_ready && !record.has_left && self.is_alive(record, now) {
                 live.push(&record.host);
             }
         }
         let is_alone = live.len() <= 1;
-        if is_alone || !self.hears_most(now) {
+        if is_alone || !self.has_majority(now) {
             let unheard = self.peers.values().filter(|record| !record.has_left);
             let recent = unheard.filter(|record| {
-                let since = record.heard_at.unwrap_or(record.known_at);
-                !self.is_heard(record, now) && now.duration_since(since) < NAME_UNHEARD_FOR
+                let since = record.last_heartbeat_at.unwrap_or(record.known_at);
+                !self.is_alive(record, now) && now.duration_since(since) < NAME_UNHEARD_FOR
             });
             // A zone that is silent as a whole is more likely cut off from this host than lost.
             let named =
--- a/crates/cuminramp-fleet/src/peers/tests.rs
+++ b/crates/cuminramp-fleet/src/peers/tests.rs
@@ -12,21 +12,21 @@
     SteeringArea { zone: zone.into(), ..SteeringArea::default() }
 }
 
-fn steer(table: &PeerTable, zone: &str, fewest_near: usize) -> Vec<Name> {
-    let bounds = SteeringBounds { fewest_near, most: 64 };
+fn steer(table: &PeerTable, zone: &str, min_near: usize) -> Vec<Name> {
+    let bounds = SteeringBounds { min_near, max_hosts: 64 };
     table.steer(&area(zone), true, bounds, &mut SeededRandom::new(1), Instant::now())
 }
 
 fn hear_all(table: &mut PeerTable, hosts: &[&str], zone: &str, sequence: u64) {
     for host in hosts {
-        table.hear(heartbeat(known(host, 1, zone), sequence), Instant::now());
+        table.receive_heartbeat(heartbeat(known(host, 1, zone), sequence), Instant::now());
     }
 }
 
 /// Hosts named to callers of the first zone of a region with two.
 fn steer_in_region(table: &PeerTable) -> Vec<Name> {
     let area = SteeringArea { region_zones: vec!["z1".into(), "z2".into()], ..area("z1") };
-    let bounds = SteeringBounds { fewest_near: 2, most: 64 };
+    let bounds = SteeringBounds { min_near: 2, max_hosts: 64 };
     table.steer(&area, true, bounds, &mut SeededRandom::new(1), Instant::now())
 }
 
@@ -40,11 +40,11 @@
 #[tokio::test(start_paused = true)]
 async fn callers_are_not_sent_to_a_host_that_fell_silent() {
     let mut table = table();
-    table.hear(heartbeat(known("b", 1, "z1"), 1), Instant::now());
+    table.receive_heartbeat(heartbeat(known("b", 1, "z1"), 1), Instant::now());
 
     let before = steer(&table, "z1", 1);
     advance(Duration::from_millis(400)).await;
-    table.hear(heartbeat(known("c", 1, "z1"), 1), Instant::now());
+    table.receive_heartbeat(heartbeat(known("c", 1, "z1"), 1), Instant::now());
     let after = steer(&table, "z1", 1);
 
     assert_eq!(before.len(), 2);
@@ -59,10 +59,10 @@
     let now = Instant::now();
 
     let heard = [
-        table.hear(heartbeat(known("b", 2, "z1"), 5), now),
-        table.hear(heartbeat(known("b", 2, "z1"), 4), now),
-        table.hear(heartbeat(known("b", 1, "z1"), 9), now),
-        table.hear(heartbeat(known("b", 3, "z1"), 1), now),
+        table.receive_heartbeat(heartbeat(known("b", 2, "z1"), 5), now),
+        table.receive_heartbeat(heartbeat(known("b", 2, "z1"), 4), now),
+        table.receive_heartbeat(heartbeat(known("b", 1, "z1"), 9), now),
+        table.receive_heartbeat(heartbeat(known("b", 3, "z1"), 1), now),
     ];
 
     assert_eq!(heard, [true, false, false, true]);
@@ -72,19 +72,19 @@
 async fn jobs_of_an_earlier_run_and_of_a_silent_host_may_be_taken_over() {
     let mut table = table();
     let id = |incarnation| HostId { address: "b".into(), incarnation };
-    table.hear(heartbeat(known("b", 2, "z1"), 1), Instant::now());
+    table.receive_heartbeat(heartbeat(known("b", 2, "z1"), 1), Instant::now());
 
     assert!(table.is_lost(&id(1), Instant::now()));
     assert!(!table.is_lost(&id(2), Instant::now()));
     advance(Duration::from_millis(1_600)).await;
     assert!(table.is_lost(&id(2), Instant::now()));
-    assert!(!table.hears_most(Instant::now()) || table.heard_of_all(Instant::now()) == (1, 2));
+    assert!(!table.has_majority(Instant::now()) || table.count_alive(Instant::now()) == (1, 2));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_zone_with_too_few_hosts_gets_those_of_others() {
     let mut table = table();
-    table.hear(heartbeat(known("b", 1, "z2"), 1), Instant::now());
+    table.receive_heartbeat(heartbeat(known("b", 1, "z2"), 1), Instant::now());
 
     assert_eq!(steer(&table, "z2", 2).len(), 2);
     assert_eq!(steer(&table, "z2", 1).len(), 1);
@@ -94,12 +94,12 @@
 async fn a_host_cut_off_from_the_store_asks_one_that_is_not() {
     let mut table = table();
     let cut_off = HostHeartbeat { reaches_store: false, ..heartbeat(known("b", 1, "z1"), 1) };
-    table.hear(cut_off, Instant::now());
+    table.receive_heartbeat(cut_off, Instant::now());
     let none = table.store_relay(0, Instant::now());
 
-    table.hear(heartbeat(known("c", 1, "z2"), 1), Instant::now());
+    table.receive_heartbeat(heartbeat(known("c", 1, "z2"), 1), Instant::now());
     let far = table.store_relay(0, Instant::now());
-    table.hear(heartbeat(known("d", 1, "z1"), 1), Instant::now());
+    table.receive_heartbeat(heartbeat(known("d", 1, "z1"), 1), Instant::now());
     let near = table.store_relay(0, Instant::now());
 
     assert_eq!((none, far.as_deref(), near.as_deref()), (None, Some("c"), Some("d")));
@@ -109,12 +109,12 @@
 #[tokio::test(start_paused = true)]
 async fn a_zone_is_silent_only_when_all_its_hosts_are() {
     let mut table = table();
-    table.hear(heartbeat(known("b", 1, "z2"), 1), Instant::now());
-    table.hear(heartbeat(known("c", 1, "z2"), 1), Instant::now());
+    table.receive_heartbeat(heartbeat(known("b", 1, "z2"), 1), Instant::now());
+    table.receive_heartbeat(heartbeat(known("c", 1, "z2"), 1), Instant::now());
     advance(Duration::from_secs(5)).await;
     let all_silent = table.is_zone_silent("z2", Instant::now());
 
-    table.hear(heartbeat(known("c", 1, "z2"), 2), Instant::now());
+    table.receive_heartbeat(heartbeat(known("c", 1, "z2"), 2), Instant::now());
 
     let one_heard = table.is_zone_silent("z2", Instant::now());
     let others = ["z1", "z3"].map(|zone| table.is_zone_silent(zone, Instant::now()));
@@ -126,13 +126,13 @@
 async fn a_host_that_hears_half_of_a_zone_does_not_hear_most_of_it() {
     let mut table = table();
     for address in ["b", "c", "d"] {
-        table.hear(heartbeat(known(address, 1, "z1"), 1), Instant::now());
+        table.receive_heartbeat(heartbeat(known(address, 1, "z1"), 1), Instant::now());
     }
-    let all = table.hears_most_of("z1", Instant::now());
+    let all = table.has_majority_in("z1", Instant::now());
     advance(Duration::from_secs(5)).await;
-    table.hear(heartbeat(known("b", 1, "z1"), 2), Instant::now());
+    table.receive_heartbeat(heartbeat(known("b", 1, "z1"), 2), Instant::now());
 
-    let half = table.hears_most_of("z1", Instant::now());
+    let half = table.has_majority_in("z1", Instant::now());
 
     assert_eq!((all, half), (true, false));
 }
--- a/crates/cuminramp-fleet/src/placement.rs
+++ b/crates/cuminramp-fleet/src/placement.rs
@@ -16,7 +16,7 @@
 
 use crate::heartbeat::{TargetLoad, name_hash};
 use crate::homes::ZoneLimit;
-use crate::outliers::{DoubtChange, HealthBook, TargetOutcomes};
+use crate::outliers::{OutlierChange, OutlierDetector, TargetOutcomes};
 use crate::slots::SlotGroup;
 
 mod cold;
@@ -26,9 +26,9 @@
 mod reachability;
 
 pub use cold::{ColdRule, ColdShare, ColdTolerance};
-pub(crate) use group::{GroupNeed, GroupPlace};
-use orphans::{ForeignWork, RecentPeak};
-use reachability::ReachBook;
+pub(crate) use group::{GroupPlacement, GroupRequest};
+use orphans::{OrphanedWork, RecentPeak};
+use reachability::ReachabilityTable;
 
 /// Whether a target takes new work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -55,7 +55,7 @@
     /// Whether it takes new work.
     pub phase: TargetPhase,
     /// When this run began, in milliseconds of Unix time; 0 where it does not say.
-    pub born_ms: u64,
+    pub started_at_ms: u64,
     /// How much longer it is cold, as it said last.
     pub cold_for: Duration,
 }
@@ -72,7 +72,7 @@
     ///     zone: "z".into(),
     ///     slots: 8,
     ///     phase: TargetPhase::Serving,
-    ///     born_ms: 1,
+    ///     started_at_ms: 1,
     ///     cold_for: std::time::Duration::ZERO,
     /// };
     /// assert_eq!(&*target.group().zone, "z");
@@ -99,7 +99,7 @@
     /// How long a target gets no new work after a failure; doubled with each further one.
     pub failure_pause: Duration,
     /// The longest such pause.
-    pub longest_pause: Duration,
+    pub max_pause: Duration,
     /// Part of the objective that waiting at a target may use up; the rest is for the first event.
     pub wait_share: f64,
     /// Time that a request holds a slot, assumed until requests have been seen.
@@ -116,7 +116,7 @@
         PlacementPolicy {
             full_pause: Duration::from_millis(60),
             failure_pause: Duration::from_millis(500),
-            longest_pause: Duration::from_secs(4),
+            max_pause: Duration::from_secs(4),
             wait_share: 0.6,
             first_hold: Duration::from_millis(700),
             zone_bonus: 2,
@@ -127,14 +127,14 @@
 
 /// What a request needs of a place.
 #[derive(Debug)]
-pub struct OnlineNeed<'a> {
+pub struct PlacementRequest<'a> {
     /// Its pool.
     pub pool: &'a str,
     /// Time to the first event that it should keep.
     pub objective: Duration,
     /// Whether it was turned away before: it goes before newcomers, and is not turned away twice
     /// while it can be answered at all.
-    pub is_again: bool,
+    pub is_retry: bool,
     /// Targets that it was sent to already.
     pub tried: &'a [Name],
     /// Where it may run.
@@ -153,7 +153,7 @@
 }
 
 #[derive(Debug)]
-struct BoardEntry {
+struct PlacementEntry {
     target: FleetTarget,
     /// The short form of its identity.
     hash: u32,
@@ -164,9 +164,9 @@
     others_online: u32,
     others_batch: u32,
     peak: RecentPeak,
-    foreign: ForeignWork,
+    orphaned: OrphanedWork,
     /// What the target told last, until a report passes it on.
-    untold_load: Option<u16>,
+    unreported_load: Option<u16>,
     full_until: Option<Instant>,
     paused_until: Option<Instant>,
     failures: u32,
@@ -177,7 +177,7 @@
     sends: VecDeque<Instant>,
 }
 
-impl BoardEntry {
+impl PlacementEntry {
     fn online(&self) -> u32 {
         self.own_online + self.others_online
     }
@@ -193,7 +193,7 @@
 
     /// Work that does not give way: that of callers, and of hosts that are gone.
     fn firm(&self) -> u32 {
-        self.online() + self.foreign.left()
+        self.online() + self.orphaned.left()
     }
 
     fn total(&self) -> u32 {
@@ -217,39 +217,39 @@
 
 /// All targets, with what is in flight at each.
 #[derive(Debug)]
-pub struct TargetBoard {
+pub struct PlacementTable {
     zone: AvailabilityZone,
     policy: PlacementPolicy,
-    entries: SortedMap<Name, BoardEntry>,
+    entries: SortedMap<Name, PlacementEntry>,
     hashes: SortedMap<u32, Name>,
     groups: SortedMap<u32, SlotGroup>,
     peer_loads: SortedMap<HostId, Vec<TargetLoad>>,
-    health: HealthBook,
+    outliers: OutlierDetector,
     hold: Duration,
     /// Zones whose targets get nothing new, in the order of their names.
     drained: Vec<AvailabilityZone>,
     cold_rules: SortedMap<Name, ColdRule>,
-    reach: ReachBook,
+    reachability: ReachabilityTable,
 }
 
 /// How much a new sample weighs in the average time that a request holds a slot.
 const HOLD_WEIGHT: f64 = 0.05;
 
-impl TargetBoard {
+impl PlacementTable {
     /// Knows no target yet. `zone` is where this host stands.
     pub fn new(zone: AvailabilityZone, policy: PlacementPolicy) -> Self {
-        TargetBoard {
+        PlacementTable {
             zone,
             policy,
             entries: SortedMap::new(),
             hashes: SortedMap::new(),
             groups: SortedMap::new(),
             peer_loads: SortedMap::new(),
-            health: HealthBook::new(),
+            outliers: OutlierDetector::new(),
             hold: policy.first_hold,
             drained: Vec::new(),
             cold_rules: SortedMap::new(),
-            reach: ReachBook::default(),
+            reachability: ReachabilityTable::default(),
         }
     }
 
@@ -261,14 +261,14 @@
         self.groups.insert(group_hash, group);
         let is_drained = self.drained.binary_search(&target.zone).is_ok();
         if let Some(entry) = self.entries.get_mut(&target.id) {
-            if entry.target.born_ms > target.born_ms {
+            if entry.target.started_at_ms > target.started_at_ms {
                 return;
             }
-            if entry.target.born_ms != target.born_ms {
+            if entry.target.started_at_ms != target.started_at_ms {
                 entry.paused_until = None;
                 entry.failures = 0;
-                entry.foreign = ForeignWork::none(now);
-                self.health.forget(name_hash(&target.id));
+                entry.orphaned = OrphanedWork::none(now);
+                self.outliers.forget(name_hash(&target.id));
             }
             entry.note_cold(target.cold_for, now);
             entry.target = target;
@@ -279,7 +279,7 @@
         let hash = name_hash(&target.id);
         self.hashes.insert(hash, target.id.clone());
         let (others_online, others_batch) = self.told_of(hash);
-        let mut entry = BoardEntry {
+        let mut entry = PlacementEntry {
             hash,
             group: group_hash,
             own_online: 0,
@@ -287,8 +287,8 @@
             others_online,
             others_batch,
             peak: RecentPeak::new(now),
-            foreign: ForeignWork::none(now),
-            untold_load: None,
+            orphaned: OrphanedWork::none(now),
+            unreported_load: None,
             full_until: None,
             paused_until: None,
             failures: 0,
@@ -305,7 +305,7 @@
     pub fn remove(&mut self, id: &str) {
         if self.entries.remove(id).is_some() {
             self.hashes.remove(&name_hash(id));
-            self.health.forget(name_hash(id));
+            self.outliers.forget(name_hash(id));
         }
     }
 
@@ -363,7 +363,7 @@
     }
 
     /// Replaces what a host has in flight by what it tells now.
-    pub fn hear(&mut self, host: &HostId, loads: Vec<TargetLoad>) {
+    pub fn receive_loads(&mut self, host: &HostId, loads: Vec<TargetLoad>) {
         self.forget_host(host);
         self.shift(&loads, true);
         self.peer_loads.insert(host.clone(), loads);
@@ -378,13 +378,13 @@
                 self.shift(&loads, false);
             }
         }
-        self.health.forget_host(host);
+        self.outliers.forget_host(host);
     }
 
     /// Takes what a host tells of failing targets in place of what it told before.
-    pub fn hear_outcomes(&mut self, host: &HostId, outcomes: Vec<TargetOutcomes>, now: Instant) {
-        self.health.hear(host, outcomes, now);
-        self.health.review(now);
+    pub fn receive_outcomes(&mut self, host: &HostId, outcomes: Vec<TargetOutcomes>, now: Instant) {
+        self.outliers.receive(host, outcomes, now);
+        self.outliers.review(now);
     }
 
     /// Counts work that was just sent to a target.
@@ -409,15 +409,15 @@
     }
 
     /// A request held its slot for so long.
-    pub fn saw_hold(&mut self, held: Duration) {
+    pub fn record_hold(&mut self, held: Duration) {
         let average =
             self.hold.as_secs_f64() * (1.0 - HOLD_WEIGHT) + held.as_secs_f64() * HOLD_WEIGHT;
         self.hold = Duration::from_secs_f64(average);
     }
 
     /// A target answered as it should.
-    pub fn saw_success(&mut self, id: &str, now: Instant) {
-        self.health.saw(name_hash(id), false, now);
+    pub fn record_success(&mut self, id: &str, now: Instant) {
+        self.outliers.record(name_hash(id), false, now);
         if let Some(entry) = self.entries.get_mut(id) {
             entry.failures = 0;
             entry.paused_until = None;
@@ -425,26 +425,26 @@
     }
 
     /// A connection to a target did not stand.
-    pub fn saw_unreached(&mut self, id: &str, now: Instant) {
+    pub fn record_unreachable(&mut self, id: &str, now: Instant) {
         if let Some(entry) = self.entries.get(id) {
-            self.reach.saw_unreached(&entry.target.zone, now);
+            self.reachability.record_unreachable(&entry.target.zone, now);
         }
     }
 
     /// A target answered, whatever it said.
-    pub fn saw_reached(&mut self, id: &str) {
+    pub fn record_reachable(&mut self, id: &str) {
         if let Some(entry) = self.entries.get(id) {
-            self.reach.saw_reached(&entry.target.zone);
+            self.reachability.record_reachable(&entry.target.zone);
         }
     }
 
     /// Whether this host lately failed to connect to targets of a zone several times in a row.
-    pub fn is_unreached(&self, zone: &str, now: Instant) -> bool {
-        self.reach.is_unreached(zone, now)
+    pub fn is_unreachable(&self, zone: &str, now: Instant) -> bool {
+        self.reachability.is_unreachable(zone, now)
     }
 
     /// A target had no room.
-    pub fn saw_full(&mut self, id: &str, now: Instant) {
+    pub fn record_full(&mut self, id: &str, now: Instant) {
         let pause = self.policy.full_pause;
         if let Some(entry) = self.entries.get_mut(id) {
             entry.full_until = Some(now + pause);
@@ -453,9 +453,9 @@
 
     /// A target failed, broke off or fell silent: it gets no new work for a while, unless more than
     /// half of its pool would then get none.
-    pub fn saw_failure(&mut self, id: &str, now: Instant) {
-        self.health.saw(name_hash(id), true, now);
-        self.health.review(now);
+    pub fn record_failure(&mut self, id: &str, now: Instant) {
+        self.outliers.record(name_hash(id), true, now);
+        self.outliers.review(now);
         let Some(pool) = self.entries.get(id).map(|entry| entry.target.pool.clone()) else {
             return;
         };
@@ -469,18 +469,18 @@
         entry.failures += 1;
         if paused * 2 < all {
             let factor = 1u32 << (entry.failures - 1).min(4);
-            let pause = (policy.failure_pause * factor).min(policy.longest_pause);
+            let pause = (policy.failure_pause * factor).min(policy.max_pause);
             entry.paused_until = Some(now + pause);
         }
     }
 
     /// Targets that were set aside or are used again since this was last asked.
-    pub fn take_doubt_changes(&mut self, now: Instant) -> Vec<DoubtChange> {
-        self.health.take_changes(now)
+    pub fn take_outlier_changes(&mut self, now: Instant) -> Vec<OutlierChange> {
+        self.outliers.take_changes(now)
     }
 
-    fn is_doubtful(&self, entry: &BoardEntry) -> bool {
-        self.health.is_doubtful(entry.hash)
+    fn is_outlier(&self, entry: &PlacementEntry) -> bool {
+        self.outliers.is_outlier(entry.hash)
     }
 
     /// Online requests and batch items at all targets, those of this host, and all slots.
--- a/crates/cuminramp-fleet/src/placement/cold.rs
+++ b/crates/cuminramp-fleet/src/placement/cold.rs
@@ -13,7 +13,7 @@
 use cuminramp_core::{Name, SortedMap};
 use tokio::time::Instant;
 
-use super::{BoardEntry, TargetBoard};
+use super::{PlacementEntry, PlacementTable};
 use crate::slots::SlotGroup;
 
 /// Requests in any such time are counted together: a second, and what ways of unequal length may add.
@@ -65,7 +65,7 @@
     }
 }
 
-impl BoardEntry {
+impl PlacementEntry {
     pub(super) fn is_cold(&self, now: Instant) -> bool {
         self.cold_until.is_some_and(|until| until > now)
     }
@@ -90,13 +90,13 @@
     }
 }
 
-impl TargetBoard {
+impl PlacementTable {
     /// Takes what cold targets of each pool bear, as declared.
     pub fn set_cold_rules(&mut self, rules: SortedMap<Name, ColdRule>) {
         self.cold_rules = rules;
     }
 
-    fn cold_limits(&self, entry: &BoardEntry) -> Option<ColdLimits> {
+    fn cold_limits(&self, entry: &PlacementEntry) -> Option<ColdLimits> {
         let rule = self.cold_rules.get(&entry.target.pool)?;
         let is_limited = rule.requests_per_s > 0.0;
         is_limited.then(|| ColdLimits::new(*rule, self.policy.cold_tolerance))
@@ -108,7 +108,12 @@
     }
 
     /// Requests that a target may get now.
-    pub(super) fn sends_left(&self, entry: &BoardEntry, share: &ColdShare, now: Instant) -> usize {
+    pub(super) fn sends_left(
+        &self,
+        entry: &PlacementEntry,
+        share: &ColdShare,
+        now: Instant,
+    ) -> usize {
         let Some(limits) = self.cold_limits(entry).filter(|_| entry.is_cold(now)) else {
             return usize::MAX;
         };
@@ -120,7 +125,12 @@
     }
 
     /// Batch items that a target may get now: they leave callers half of the rate.
-    pub(super) fn items_left(&self, entry: &BoardEntry, share: &ColdShare, now: Instant) -> usize {
+    pub(super) fn items_left(
+        &self,
+        entry: &PlacementEntry,
+        share: &ColdShare,
+        now: Instant,
+    ) -> usize {
         let Some(limits) = self.cold_limits(entry).filter(|_| entry.is_cold(now)) else {
             return usize::MAX;
         };
@@ -131,7 +141,7 @@
     }
 
     /// Until the first of some targets that got all they bear may get a request again.
-    pub(super) fn cold_wait(&self, entries: &[&BoardEntry], now: Instant) -> Option<Duration> {
+    pub(super) fn cold_wait(&self, entries: &[&PlacementEntry], now: Instant) -> Option<Duration> {
         let waits = entries.iter().filter_map(|entry| {
             let oldest = entry.sends.iter().find(|at| now.duration_since(**at) < COUNTED_FOR);
             let free_at = oldest.map(|at| *at + COUNTED_FOR);
@@ -141,7 +151,7 @@
     }
 
     /// Takes note that a target gets some requests.
-    pub fn note_sends(&mut self, target: u32, requests: u16, now: Instant) {
+    pub fn record_sends(&mut self, target: u32, requests: u16, now: Instant) {
         let id = self.hashes.get(&target);
         let Some(entry) = id.and_then(|id| self.entries.get_mut(id)) else { return };
         if self.cold_rules.get(&entry.target.pool).is_none() {
--- a/crates/cuminramp-fleet/src/placement/group.rs
+++ b/crates/cuminramp-fleet/src/placement/group.rs
@@ -5,14 +5,14 @@
 use cuminramp_core::{AvailabilityZone, Name, RandomSource};
 use tokio::time::Instant;
 
-use super::{BoardEntry, ColdShare, FleetTarget, TargetBoard};
+use super::{ColdShare, FleetTarget, PlacementEntry, PlacementTable};
 use crate::heartbeat::TargetLoad;
 use crate::outliers::TargetOutcomes;
 use crate::slots::SlotGroup;
 
 /// What a request needs of a place in a group.
 #[derive(Debug)]
-pub(crate) struct GroupNeed<'a> {
+pub(crate) struct GroupRequest<'a> {
     /// The group.
     pub(crate) group: &'a SlotGroup,
     /// Targets that are no use to it.
@@ -25,7 +25,7 @@
 
 /// Where a request goes in a group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum GroupPlace {
+pub(crate) enum GroupPlacement {
     /// To this target.
     Slot(u32),
     /// It would wait so long for a slot.
@@ -34,31 +34,33 @@
     Empty,
 }
 
-impl TargetBoard {
+impl PlacementTable {
     /// Places a request in a group.
     ///
     /// The owner sees every slot that is taken, so the emptiest target of all is the best one.
     pub(crate) fn place_in_group(
         &self,
-        need: &GroupNeed<'_>,
+        request: &GroupRequest<'_>,
         random: &mut dyn RandomSource,
         now: Instant,
-    ) -> GroupPlace {
-        let hash = need.group.hash();
+    ) -> GroupPlacement {
+        let hash = request.group.hash();
         let usable =
-            self.usable(|entry| entry.group == hash && !need.avoided.contains(&entry.hash), now);
-        let has_rate = |entry: &&BoardEntry| self.sends_left(entry, need.share, now) > 0;
-        let open: Vec<&BoardEntry> = usable.iter().copied().filter(has_rate).collect();
+            self.usable(|entry| entry.group == hash && !request.avoided.contains(&entry.hash), now);
+        let has_rate = |entry: &&PlacementEntry| self.sends_left(entry, request.share, now) > 0;
+        let open: Vec<&PlacementEntry> = usable.iter().copied().filter(has_rate).collect();
         if let Some(entry) = self.with_free_slot(&open, usize::MAX, random) {
-            return GroupPlace::Slot(entry.hash);
+            return GroupPlacement::Slot(entry.hash);
         }
         if let Some(entry) = self.with_batch(&open, random) {
-            return GroupPlace::Slot(entry.hash);
+            return GroupPlacement::Slot(entry.hash);
         }
         match self.shortest_queue(&open, random) {
-            None => self.cold_wait(&usable, now).map_or(GroupPlace::Empty, GroupPlace::Busy),
-            Some((_, entry)) if need.may_queue => GroupPlace::Slot(entry.hash),
-            Some((wait, _)) => GroupPlace::Busy(wait),
+            None => {
+                self.cold_wait(&usable, now).map_or(GroupPlacement::Empty, GroupPlacement::Busy)
+            }
+            Some((_, entry)) if request.may_queue => GroupPlacement::Slot(entry.hash),
+            Some((wait, _)) => GroupPlacement::Busy(wait),
         }
     }
 
@@ -81,8 +83,8 @@
 
     /// Slots of a target that batch items may enter. A doubtful one gets a single item, which can run
     /// again elsewhere: without it nobody would see that the target has recovered.
-    fn batch_slots(&self, entry: &BoardEntry) -> u32 {
-        if self.is_doubtful(entry) { entry.target.slots.min(1) } else { entry.target.slots }
+    fn batch_slots(&self, entry: &PlacementEntry) -> u32 {
+        if self.is_outlier(entry) { entry.target.slots.min(1) } else { entry.target.slots }
     }
 
     /// Targets of a group with more work than slots: by how much, and this host's items there.
@@ -151,7 +153,7 @@
             let id = self.hashes.get(&told.target);
             id.and_then(|id| self.entries.get(id)).is_some_and(|entry| entry.group == hash)
         };
-        self.health.tell(now).into_iter().filter(in_group).collect()
+        self.outliers.tell(now).into_iter().filter(in_group).collect()
     }
 
     /// Targets of a group that this host sends nothing now: they refused it or broke off.
--- a/crates/cuminramp-fleet/src/placement/orphans.rs
+++ b/crates/cuminramp-fleet/src/placement/orphans.rs
@@ -8,8 +8,8 @@
 
 use tokio::time::Instant;
 
-use super::{BoardEntry, TargetBoard};
-use crate::heartbeat::ToldLoad;
+use super::{PlacementEntry, PlacementTable};
+use crate::heartbeat::ReportedLoad;
 use crate::slots::SlotGroup;
 
 /// Foreign work is forgotten at a slot for each such time, unless the target tells of it anew: the items
@@ -51,15 +51,15 @@
 
 /// Foreign work as a target told of it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ForeignWork {
+pub(super) struct OrphanedWork {
     told: u32,
     at: Instant,
     left: u32,
 }
 
-impl ForeignWork {
+impl OrphanedWork {
     pub(super) fn none(now: Instant) -> Self {
-        ForeignWork { told: 0, at: now, left: 0 }
+        OrphanedWork { told: 0, at: now, left: 0 }
     }
 
     /// Slots that it still takes.
@@ -74,7 +74,7 @@
     }
 }
 
-impl BoardEntry {
+impl PlacementEntry {
     /// Takes note of what is in flight after a change.
     pub(super) fn note_peak(&mut self, now: Instant) {
         let in_flight = self.in_flight();
@@ -85,20 +85,20 @@
         self.note_peak(now);
         let beyond = busy.saturating_sub(self.peak.get());
         let told = if beyond < LEAST_FOREIGN { 0 } else { beyond };
-        self.foreign = ForeignWork { told, at: now, left: told };
+        self.orphaned = OrphanedWork { told, at: now, left: told };
     }
 }
 
-impl TargetBoard {
+impl PlacementTable {
     /// A target told this host its load in an answer: requests that it runs or lets wait.
-    pub fn saw_load(&mut self, id: &str, busy: u32, now: Instant) {
+    pub fn record_load(&mut self, id: &str, busy: u32, now: Instant) {
         let Some(entry) = self.entries.get_mut(id) else { return };
         entry.hear_load(busy, now);
-        entry.untold_load = Some(busy.min(u32::from(u16::MAX)) as u16);
+        entry.unreported_load = Some(busy.min(u32::from(u16::MAX)) as u16);
     }
 
     /// Takes what targets told another host.
-    pub fn hear_loads(&mut self, told: &[ToldLoad], now: Instant) {
+    pub fn receive_reported_loads(&mut self, told: &[ReportedLoad], now: Instant) {
         for load in told {
             let id = self.hashes.get(&load.target);
             let entry = id.and_then(|id| self.entries.get_mut(id));
@@ -109,20 +109,20 @@
     }
 
     /// What targets of a group told this host since this was last asked.
-    pub fn take_loads(&mut self, group: &SlotGroup) -> Vec<ToldLoad> {
+    pub fn take_reported_loads(&mut self, group: &SlotGroup) -> Vec<ReportedLoad> {
         let hash = group.hash();
         let entries = self.entries.iter_mut().map(|(_, entry)| entry);
         let told = entries.filter(|entry| entry.group == hash).filter_map(|entry| {
-            let busy = entry.untold_load.take()?;
-            Some(ToldLoad { target: entry.hash, busy })
+            let busy = entry.unreported_load.take()?;
+            Some(ReportedLoad { target: entry.hash, busy })
         });
         told.collect()
     }
 
     /// Lets foreign work end with time.
-    pub fn fade_foreign(&mut self, now: Instant) {
+    pub fn fade_orphaned(&mut self, now: Instant) {
         for (_, entry) in self.entries.iter_mut() {
-            entry.foreign.fade(now);
+            entry.orphaned.fade(now);
         }
     }
 }
--- a/crates/cuminramp-fleet/src/placement/reachability.rs
+++ b/crates/cuminramp-fleet/src/placement/reachability.rs
@@ -11,32 +11,32 @@
 const TRY_AGAIN_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug)]
-struct UnreachedCount {
+struct UnreachableCount {
     in_row: u32,
     last: Instant,
 }
 
 /// Connections to targets of each zone that did not stand, since the last that did.
 #[derive(Debug, Default)]
-pub(super) struct ReachBook {
-    zones: SortedMap<AvailabilityZone, UnreachedCount>,
+pub(super) struct ReachabilityTable {
+    zones: SortedMap<AvailabilityZone, UnreachableCount>,
 }
 
-impl ReachBook {
-    pub(super) fn saw_unreached(&mut self, zone: &AvailabilityZone, now: Instant) {
-        let none = || UnreachedCount { in_row: 0, last: now };
+impl ReachabilityTable {
+    pub(super) fn record_unreachable(&mut self, zone: &AvailabilityZone, now: Instant) {
+        let none = || UnreachableCount { in_row: 0, last: now };
         let count = self.zones.get_or_insert_with(zone.clone(), none);
         count.in_row = count.in_row.saturating_add(1);
         count.last = now;
     }
 
-    pub(super) fn saw_reached(&mut self, zone: &str) {
+    pub(super) fn record_reachable(&mut self, zone: &str) {
         if !self.zones.is_empty() {
             self.zones.remove(zone);
         }
     }
 
-    pub(super) fn is_unreached(&self, zone: &str, now: Instant) -> bool {
+    pub(super) fn is_unreachable(&self, zone: &str, now: Instant) -> bool {
         self.zones.get(zone).is_some_and(|count| {
             count.in_row >= MOST_UNREACHED && now.duration_since(count.last) < TRY_AGAIN_AFTER
         })
--- a/crates/cuminramp-fleet/src/quota.rs
+++ b/crates/cuminramp-fleet/src/quota.rs
@@ -147,7 +147,7 @@
 
 /// All teams' buckets as this host sees them.
 #[derive(Debug)]
-pub struct QuotaBook {
+pub struct QuotaTable {
     tolerance: QuotaTolerance,
     teams: SortedMap<u32, TeamAccount>,
     heard: SortedMap<HostId, HeardCounts>,
@@ -155,10 +155,10 @@
     learns_until: Instant,
 }
 
-impl QuotaBook {
+impl QuotaTable {
     /// Knows no team yet.
     pub fn new(tolerance: QuotaTolerance, now: Instant) -> Self {
-        QuotaBook {
+        QuotaTable {
             tolerance,
             teams: SortedMap::new(),
             heard: SortedMap::new(),
@@ -193,13 +193,13 @@
     }
 
     /// Says which part of all hosts is heard, this one included.
-    pub fn set_share(&mut self, heard: usize, all: usize) {
+    pub fn set_alive_share(&mut self, heard: usize, all: usize) {
         let heard = heard.max(1);
         self.parts = FleetParts { heard: heard as f64, all: all.max(heard) as f64 };
     }
 
     /// Takes note that a host is no longer heard: from now on a part is kept for it.
-    pub fn note_silent(&mut self, host: &HostId) {
+    pub fn mark_silent(&mut self, host: &HostId) {
         let Some(counts) = self.heard.get_mut(host) else { return };
         if counts.basis == CountBasis::Current {
             counts.basis = CountBasis::BeforeSilence;
@@ -209,7 +209,7 @@
     }
 
     /// Begins anew, as after a pause in which others spent unseen.
-    pub fn begin_anew(&mut self, now: Instant) {
+    pub fn reset(&mut self, now: Instant) {
         self.learns_until = now + LEARN_FOR;
         let tolerance = self.tolerance;
         for (_, account) in self.teams.iter_mut() {
@@ -218,9 +218,9 @@
         }
     }
 
-    /// Asks for one request of `team`. `is_again` says that it was refused before and told when to
+    /// Asks for one request of `team`. `is_retry` says that it was refused before and told when to
     /// come back.
-    pub fn admit(&mut self, team: &Name, is_again: bool, now: Instant) -> QuotaDecision {
+    pub fn admit(&mut self, team: &Name, is_retry: bool, now: Instant) -> QuotaDecision {
         let parts = self.parts;
         let cost = parts.cost();
         let Some(account) = self.teams.get_mut(&name_hash(team)) else {
@@ -230,7 +230,7 @@
             return QuotaDecision::Admitted;
         }
         account.advance(now);
-        let debt = if is_again { (account.burst * AGAIN_DEBT.0).min(AGAIN_DEBT.1) } else { 0.0 };
+        let debt = if is_retry { (account.burst * AGAIN_DEBT.0).min(AGAIN_DEBT.1) } else { 0.0 };
         if account.level + debt >= cost {
             account.charge(1.0, parts);
             account.admitted += 1;
@@ -243,7 +243,7 @@
 
     /// When a request that is refused now should come back: after those that were refused before
     /// it, or they would all come at the same moment and be refused again.
-    pub fn return_after(&mut self, team: &Name, now: Instant) -> Duration {
+    pub fn retry_after(&mut self, team: &Name, now: Instant) -> Duration {
         let hosts = self.heard.len() as f64 + 1.0;
         let Some(account) = self.teams.get_mut(&name_hash(team)) else {
             return Duration::ZERO;
@@ -270,7 +270,7 @@
     /// what was kept for the host is put back. Where only one of them is done, a host that falls
     /// silent for a moment again and again spends without being counted, or the fuller part of a
     /// divided fleet spends what the other has spent already; a team then gets twice its rate.
-    pub fn hear(&mut self, heartbeat: &HostHeartbeat, was_silent: bool, now: Instant) {
+    pub fn receive_heartbeat(&mut self, heartbeat: &HostHeartbeat, was_silent: bool, now: Instant) {
         let host = HostId {
             address: heartbeat.host.address.clone(),
             incarnation: heartbeat.host.incarnation,
@@ -279,11 +279,11 @@
             self.heard.retain(|held, _| held.address != host.address);
         }
         if was_silent {
-            self.note_silent(&host);
+            self.mark_silent(&host);
         }
         let is_settled = self.is_settled(now);
         let counts = self.heard.get_or_insert_with(host, HeardCounts::default);
-        match (counts.basis, heartbeat.is_usage_whole) {
+        match (counts.basis, heartbeat.is_usage_full) {
             // Counts only grow, so what is told of a team is new whether or not the heartbeat is whole.
             (CountBasis::Current, _) | (CountBasis::BeforeSilence, false) => {
                 take_counts(&mut self.teams, counts, heartbeat, self.parts, now);
--- a/crates/cuminramp-fleet/src/quota/tests.rs
+++ b/crates/cuminramp-fleet/src/quota/tests.rs
@@ -7,7 +7,7 @@
 use cuminramp_core::Name;
 use tokio::time::{Instant, advance};
 
-use super::{QuotaBook, QuotaDecision, QuotaTolerance};
+use super::{QuotaDecision, QuotaTable, QuotaTolerance};
 use crate::declarations::{CallerLimits, FleetDeclarations, TeamRule};
 use crate::fixtures::{host_heartbeat, known_host};
 use crate::heartbeat::HostHeartbeat;
@@ -30,30 +30,30 @@
     QuotaTolerance { share: 0.1, requests: 20.0, window: Duration::from_secs(WINDOW) }
 }
 
-fn book_with(tolerance: QuotaTolerance) -> QuotaBook {
-    let mut book = QuotaBook::new(tolerance, Instant::now());
-    book.set_limits(&declarations(), Instant::now());
-    book
+fn table_with(tolerance: QuotaTolerance) -> QuotaTable {
+    let mut table = QuotaTable::new(tolerance, Instant::now());
+    table.set_limits(&declarations(), Instant::now());
+    table
 }
 
-fn book() -> QuotaBook {
-    book_with(QuotaTolerance::default())
+fn table() -> QuotaTable {
+    table_with(QuotaTolerance::default())
 }
 
 /// What the host called `address` tells of a book.
-fn heartbeat(address: &str, book: &QuotaBook, is_whole: bool) -> HostHeartbeat {
+fn heartbeat(address: &str, table: &QuotaTable, is_whole: bool) -> HostHeartbeat {
     let now = Instant::now();
     HostHeartbeat {
-        usage: book.usage(is_whole, now),
-        is_usage_whole: is_whole,
-        is_settled: book.is_settled(now),
+        usage: table.usage(is_whole, now),
+        is_usage_full: is_whole,
+        is_settled: table.is_settled(now),
         ..host_heartbeat(known_host(address, 1, "z"), 1)
     }
 }
 
-fn admitted_at_once(book: &mut QuotaBook) -> u32 {
+fn admitted_at_once(table: &mut QuotaTable) -> u32 {
     let mut count = 0;
-    while book.admit(&team(), false, Instant::now()) == QuotaDecision::Admitted {
+    while table.admit(&team(), false, Instant::now()) == QuotaDecision::Admitted {
         count += 1;
     }
     count
@@ -61,13 +61,13 @@
 
 /// A fleet whose hosts hear each other's heartbeats at once.
 struct Fleet {
-    books: Vec<QuotaBook>,
+    tables: Vec<QuotaTable>,
 }
 
 impl Fleet {
     fn new(hosts: usize, tolerance: QuotaTolerance) -> Self {
-        let books = (0..hosts).map(|_| book_with(tolerance)).collect();
-        let mut fleet = Fleet { books };
+        let tables = (0..hosts).map(|_| table_with(tolerance)).collect();
+        let mut fleet = Fleet { tables };
         for host in 0..hosts {
             fleet.tell(host, true);
         }
@@ -75,28 +75,28 @@
     }
 
     fn tell(&mut self, host: usize, is_whole: bool) {
-        let heartbeat = heartbeat(&host.to_string(), &self.books[host], is_whole);
-        for (index, other) in self.books.iter_mut().enumerate() {
+        let heartbeat = heartbeat(&host.to_string(), &self.tables[host], is_whole);
+        for (index, other) in self.tables.iter_mut().enumerate() {
             if index != host {
-                other.hear(&heartbeat, false, Instant::now());
+                other.receive_heartbeat(&heartbeat, false, Instant::now());
             }
         }
     }
 
     fn restart(&mut self, host: usize, tolerance: QuotaTolerance) {
-        self.books[host] = book_with(tolerance);
-        for other in 0..self.books.len() {
+        self.tables[host] = table_with(tolerance);
+        for other in 0..self.tables.len() {
             if other != host {
-                let heartbeat = heartbeat(&other.to_string(), &self.books[other], true);
-                self.books[host].hear(&heartbeat, false, Instant::now());
+                let heartbeat = heartbeat(&other.to_string(), &self.tables[other], true);
+                self.tables[host].receive_heartbeat(&heartbeat, false, Instant::now());
             }
         }
     }
 
     /// A request every 10 ms through one host after another.
     async fn flood(&mut self, step: usize) -> u32 {
-        let host = step % self.books.len();
-        let decision = self.books[host].admit(&team(), false, Instant::now());
+        let host = step % self.tables.len();
+        let decision = self.tables[host].admit(&team(), false, Instant::now());
         self.tell(host, false);
         advance(Duration::from_millis(10)).await;
         u32::from(decision == QuotaDecision::Admitted)
@@ -107,22 +107,22 @@
 /// more with each restart.
 #[tokio::test(start_paused = true)]
 async fn a_new_process_starts_with_an_empty_bucket_where_nothing_is_tolerated() {
-    let mut book = book();
+    let mut table = table();
 
-    assert_eq!(admitted_at_once(&mut book), 0);
+    assert_eq!(admitted_at_once(&mut table), 0);
     advance(Duration::from_secs(1)).await;
-    assert_eq!(admitted_at_once(&mut book), 10);
+    assert_eq!(admitted_at_once(&mut table), 10);
 }
 
 #[tokio::test(start_paused = true)]
 async fn what_others_admit_is_taken_out_here() {
-    let mut first = book();
-    let mut second = book();
+    let mut first = table();
+    let mut second = table();
     advance(Duration::from_secs(10)).await;
-    second.hear(&heartbeat("first", &first, true), false, Instant::now());
+    second.receive_heartbeat(&heartbeat("first", &first, true), false, Instant::now());
 
     let spent = admitted_at_once(&mut first);
-    second.hear(&heartbeat("first", &first, false), false, Instant::now());
+    second.receive_heartbeat(&heartbeat("first", &first, false), false, Instant::now());
 
     assert_eq!(spent, 20);
     assert_eq!(admitted_at_once(&mut second), 0);
@@ -132,10 +132,10 @@
 /// went on with the whole rate, the team would get twice what it pays for.
 #[tokio::test(start_paused = true)]
 async fn the_parts_of_a_divided_fleet_stay_within_the_rate_together() {
-    let mut parts = [book(), book()];
+    let mut parts = [table(), table()];
     advance(Duration::from_secs(10)).await;
     for part in &mut parts {
-        part.set_share(2, 4);
+        part.set_alive_share(2, 4);
     }
 
     let mut total = 0;
@@ -153,15 +153,15 @@
 /// would get what it spent there a second time. What is left is what was left to this part.
 #[tokio::test(start_paused = true)]
 async fn what_was_spent_in_a_division_is_owed_once_after_it() {
-    let (mut here, mut there) = (book(), book());
-    here.hear(&heartbeat("there", &there, true), false, Instant::now());
+    let (mut here, mut there) = (table(), table());
+    here.receive_heartbeat(&heartbeat("there", &there, true), false, Instant::now());
     advance(Duration::from_secs(10)).await;
-    here.set_share(1, 2);
-    there.set_share(1, 2);
+    here.set_alive_share(1, 2);
+    there.set_alive_share(1, 2);
     let spent_there = admitted_at_once(&mut there);
 
-    here.set_share(2, 2);
-    here.hear(&heartbeat("there", &there, true), true, Instant::now());
+    here.set_alive_share(2, 2);
+    here.receive_heartbeat(&heartbeat("there", &there, true), true, Instant::now());
     let left_here = admitted_at_once(&mut here);
 
     assert_eq!((spent_there, left_here), (10, 10));
@@ -172,14 +172,14 @@
 /// the whole rate until it comes.
 #[tokio::test(start_paused = true)]
 async fn admissions_told_after_a_silence_count_before_a_whole_heartbeat_comes() {
-    let (mut here, mut there) = (book(), book());
-    here.hear(&heartbeat("there", &there, true), false, Instant::now());
+    let (mut here, mut there) = (table(), table());
+    here.receive_heartbeat(&heartbeat("there", &there, true), false, Instant::now());
     advance(Duration::from_secs(10)).await;
     let spent_there = admitted_at_once(&mut there);
 
-    here.hear(&heartbeat("there", &there, false), true, Instant::now());
+    here.receive_heartbeat(&heartbeat("there", &there, false), true, Instant::now());
     let left_here = admitted_at_once(&mut here);
-    here.hear(&heartbeat("there", &there, true), false, Instant::now());
+    here.receive_heartbeat(&heartbeat("there", &there, true), false, Instant::now());
     advance(Duration::from_secs(1)).await;
     let next_second = admitted_at_once(&mut here);
 
@@ -247,20 +247,20 @@
 /// and most would be refused a second time.
 #[tokio::test(start_paused = true)]
 async fn refused_requests_are_spread_over_the_time_that_the_rate_needs() {
-    let mut book = book();
+    let mut table = table();
 
-    let waits: Vec<Duration> = (0..3).map(|_| book.return_after(&team(), Instant::now())).collect();
+    let waits: Vec<Duration> = (0..3).map(|_| table.retry_after(&team(), Instant::now())).collect();
 
     assert_eq!(waits, [100, 200, 300].map(Duration::from_millis));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_request_that_comes_back_goes_before_newcomers() {
-    let mut book = book();
+    let mut table = table();
     advance(Duration::from_millis(95)).await;
 
-    let newcomer = book.admit(&team(), false, Instant::now());
-    let again = book.admit(&team(), true, Instant::now());
+    let newcomer = table.admit(&team(), false, Instant::now());
+    let again = table.admit(&team(), true, Instant::now());
 
     assert_eq!(newcomer, QuotaDecision::Exceeded(Duration::from_millis(5)));
     assert_eq!(again, QuotaDecision::Admitted);
--- a/crates/cuminramp-fleet/src/quota/tests/division.rs
+++ b/crates/cuminramp-fleet/src/quota/tests/division.rs
@@ -9,7 +9,7 @@
 use crate::declarations::{CallerLimits, FleetDeclarations, TeamRule};
 use crate::heartbeat::{HostHeartbeat, KnownHost};
 use crate::peers::{PeerPolicy, PeerRecord, PeerTable};
-use crate::quota::{QuotaBook, QuotaDecision};
+use crate::quota::{QuotaDecision, QuotaTable};
 
 /// Rate and burst of a team that pays for a steady stream.
 const STEADY: (f64, f64) = (20.5, 29.3);
@@ -21,7 +21,7 @@
 const QUIET_STEPS: usize = 20;
 
 struct FleetHost {
-    book: QuotaBook,
+    table: QuotaTable,
     peers: PeerTable,
     sequence: u64,
     has_admitted: bool,
@@ -40,45 +40,45 @@
     let rule = TeamRule { name: team(), keys: vec![], rate, burst, homes: vec![] };
     let declarations =
         FleetDeclarations::new(1, CallerLimits::default(), vec![], vec![], vec![rule]);
-    let mut book = QuotaBook::new(tolerant(), Instant::now());
-    book.set_limits(&declarations, Instant::now());
+    let mut table = QuotaTable::new(tolerant(), Instant::now());
+    table.set_limits(&declarations, Instant::now());
     let policy = PeerPolicy { lost: Duration::from_millis(1_500) };
     let peers = PeerTable::new(known(index), policy);
-    FleetHost { book, peers, sequence: 0, has_admitted: false }
+    FleetHost { table, peers, sequence: 0, has_admitted: false }
 }
 
 impl FleetHost {
     fn make_heartbeat(&mut self, index: usize) -> HostHeartbeat {
         self.sequence += 1;
         // Hosts that hear one again after a silence ask it for a whole heartbeat; here all are whole.
-        let told = heartbeat(&index.to_string(), &self.book, true);
+        let told = heartbeat(&index.to_string(), &self.table, true);
         HostHeartbeat { host: known(index), sequence: self.sequence, ..told }
     }
 
     fn hear(&mut self, told: &HostHeartbeat) {
         let now = Instant::now();
         let was_heard =
-            self.peers.get(&told.host.address).is_some_and(|host| self.peers.is_heard(host, now));
-        if self.peers.hear(told.clone(), now) {
+            self.peers.get(&told.host.address).is_some_and(|host| self.peers.is_alive(host, now));
+        if self.peers.receive_heartbeat(told.clone(), now) {
             self.renew_share();
-            self.book.hear(told, !was_heard, now);
+            self.table.receive_heartbeat(told, !was_heard, now);
         }
     }
 
     fn renew_share(&mut self) {
         let now = Instant::now();
-        let is_silent = |record: &&PeerRecord| !self.peers.is_heard(record, now);
+        let is_silent = |record: &&PeerRecord| !self.peers.is_alive(record, now);
         for record in self.peers.iter().filter(is_silent) {
-            self.book.note_silent(&record.id());
+            self.table.mark_silent(&record.id());
         }
-        let (heard, all) = self.peers.heard_of_all(Instant::now());
-        self.book.set_share(heard, all);
+        let (heard, all) = self.peers.count_alive(Instant::now());
+        self.table.set_alive_share(heard, all);
     }
 
     fn admit(&mut self) -> bool {
         self.renew_share();
         let is_admitted =
-            self.book.admit(&team(), false, Instant::now()) == QuotaDecision::Admitted;
+            self.table.admit(&team(), false, Instant::now()) == QuotaDecision::Admitted;
         self.has_admitted |= is_admitted;
         is_admitted
     }
--- a/crates/cuminramp-fleet/src/row_cache.rs
+++ b/crates/cuminramp-fleet/src/row_cache.rs
@@ -46,7 +46,7 @@
 
 /// How long rows that seem gone are kept.
 #[derive(Clone, Copy, Debug)]
-pub struct RegistryPolicy {
+pub struct RowCachePolicy {
     /// While the store was away, entries of targets that live ran out. Most are back so long after
     /// its return, and all within two seconds; until then their targets are used on. A target that
     /// really left must get no new work after two seconds, so it can't be longer.
@@ -58,9 +58,9 @@
     pub mass_least: usize,
 }
 
-impl Default for RegistryPolicy {
+impl Default for RowCachePolicy {
     fn default() -> Self {
-        RegistryPolicy {
+        RowCachePolicy {
             return_limit: Duration::from_millis(1_700),
             mass_share: 0.3,
             mass_least: 3,
@@ -70,8 +70,8 @@
 
 /// The rows of one table.
 #[derive(Debug, Default)]
-pub struct RowRegistry {
-    policy: RegistryPolicy,
+pub struct RowCache {
+    policy: RowCachePolicy,
     rows: SortedMap<String, KnownRow>,
     /// Versions at which rows ended.
     ends: SortedMap<String, u64>,
@@ -80,7 +80,7 @@
     version: u64,
 }
 
-impl RowRegistry {
+impl RowCache {
     /// The version up to which the rows are complete.
     pub fn version(&self) -> u64 {
         self.version
@@ -121,7 +121,7 @@
 
     /// Takes a whole read of the table. What it lacks is doubted, unless the read is older than
     /// what is known.
-    pub fn take_whole(
+    pub fn apply_snapshot(
         &mut self,
         rows: Vec<KnownRow>,
         version: u64,
@@ -146,7 +146,7 @@
     }
 
     /// Takes changes up to `version`. `is_store_shaky` says that the store was away just before.
-    pub fn take_changes(
+    pub fn apply_changes(
         &mut self,
         changes: Vec<ChangedRow>,
         version: u64,
@@ -175,7 +175,7 @@
 
     /// Takes another host's rows, complete up to `version`; nothing if that is no more than what is
     /// known by now.
-    pub fn take_news(&mut self, rows: Vec<KnownRow>, version: u64) -> Vec<RowAction> {
+    pub fn apply_updates(&mut self, rows: Vec<KnownRow>, version: u64) -> Vec<RowAction> {
         if version <= self.version {
             return vec![];
         }
--- a/crates/cuminramp-fleet/src/schedule.rs
+++ b/crates/cuminramp-fleet/src/schedule.rs
@@ -31,28 +31,28 @@
 
 /// How often hosts send heartbeats to each other.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct HeartbeatRhythm {
+pub struct HeartbeatSchedule {
     hosts: u32,
     near_delay: Duration,
     near_interval: Duration,
     far_delay: Duration,
 }
 
-impl HeartbeatRhythm {
+impl HeartbeatSchedule {
     /// The rhythm for so many hosts in all, and in this host's zone, itself included.
     ///
     /// ```
-    /// use cuminramp_fleet::HeartbeatRhythm;
-    /// let (small, large) = (HeartbeatRhythm::new(11, 4), HeartbeatRhythm::new(85, 29));
-    /// assert!(small.silence(false) < large.silence(false));
-    /// assert!(small.silence(true) < large.silence(true));
+    /// use cuminramp_fleet::HeartbeatSchedule;
+    /// let (small, large) = (HeartbeatSchedule::new(11, 4), HeartbeatSchedule::new(85, 29));
+    /// assert!(small.timeout(false) < large.timeout(false));
+    /// assert!(small.timeout(true) < large.timeout(true));
     /// ```
     pub fn new(hosts: usize, near_hosts: usize) -> Self {
         let hosts = hosts as u64;
         let far_delay = Duration::from_micros(FAR_DELAY_MICROS * hosts * hosts);
         let near_delay = NEAR_DELAY_PER_HOST * near_hosts as u32;
         let near_interval = INTERVAL_PER_HOST * near_hosts as u32;
-        HeartbeatRhythm {
+        HeartbeatSchedule {
             hosts: hosts as u32,
             near_delay: near_delay.max(NEAR_DELAY).min(INTERVAL),
             near_interval: near_interval.clamp(INTERVAL, LONGEST_NEAR_INTERVAL),
@@ -65,17 +65,17 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use cuminramp_fleet::HeartbeatRhythm;
+    /// use cuminramp_fleet::HeartbeatSchedule;
     /// let (base, longest) = (Duration::from_secs(5), Duration::from_secs(30));
-    /// assert_eq!(HeartbeatRhythm::new(11, 4).stretch(base, longest), base);
-    /// assert_eq!(HeartbeatRhythm::new(80, 20).stretch(base, longest), base * 2);
+    /// assert_eq!(HeartbeatSchedule::new(11, 4).scale(base, longest), base);
+    /// assert_eq!(HeartbeatSchedule::new(80, 20).scale(base, longest), base * 2);
     /// ```
-    pub fn stretch(&self, base: Duration, longest: Duration) -> Duration {
+    pub fn scale(&self, base: Duration, longest: Duration) -> Duration {
         (base * self.hosts.max(SMALL_FLEET) / SMALL_FLEET).min(longest.max(base))
     }
 
     /// Silence after which a host of this zone, or of another, counts as silent.
-    pub fn silence(&self, is_near: bool) -> Duration {
+    pub fn timeout(&self, is_near: bool) -> Duration {
         if is_near {
             self.near_interval.mul_f64(MISSED_HEARTBEATS)
         } else {
@@ -90,24 +90,24 @@
 
 /// When the next heartbeats are due.
 #[derive(Clone, Copy, Debug)]
-pub struct HeartbeatTimes {
+pub struct HeartbeatTimer {
     near_due: Instant,
     near_last: Instant,
     far_due: Instant,
     far_last: Instant,
 }
 
-impl HeartbeatTimes {
+impl HeartbeatTimer {
     /// All are due now.
     pub fn new(now: Instant) -> Self {
-        HeartbeatTimes { near_due: now, near_last: now, far_due: now, far_last: now }
+        HeartbeatTimer { near_due: now, near_last: now, far_due: now, far_last: now }
     }
 
     /// Something changed: brings the next heartbeats forward.
-    pub fn hasten(&mut self, rhythm: &HeartbeatRhythm, now: Instant) {
+    pub fn bring_forward(&mut self, schedule: &HeartbeatSchedule, now: Instant) {
         let soon = now + NEAR_DELAY;
-        self.near_due = self.near_due.min(soon.max(self.near_last + rhythm.near_delay));
-        self.far_due = self.far_due.min(soon.max(self.far_last + rhythm.far_delay));
+        self.near_due = self.near_due.min(soon.max(self.near_last + schedule.near_delay));
+        self.far_due = self.far_due.min(soon.max(self.far_last + schedule.far_delay));
     }
 
     /// When the next heartbeats go out.
@@ -117,15 +117,15 @@
 
     /// Which heartbeats go out now: to hosts of the zone, and of others. Those are then due again after
     /// the usual interval.
-    pub fn take_due(&mut self, rhythm: &HeartbeatRhythm, now: Instant) -> (bool, bool) {
+    pub fn take_due(&mut self, schedule: &HeartbeatSchedule, now: Instant) -> (bool, bool) {
         let due = (self.near_due <= now, self.far_due <= now);
         if due.0 {
             self.near_last = now;
-            self.near_due = now + rhythm.near_interval;
+            self.near_due = now + schedule.near_interval;
         }
         if due.1 {
             self.far_last = now;
-            self.far_due = now + rhythm.far_interval();
+            self.far_due = now + schedule.far_interval();
         }
         due
     }
--- a/crates/cuminramp-fleet/src/schedule/tests.rs
+++ b/crates/cuminramp-fleet/src/schedule/tests.rs
@@ -3,7 +3,7 @@
 use test_case::test_case;
 use tokio::time::{Instant, advance};
 
-use super::{HeartbeatRhythm, HeartbeatTimes};
+use super::{HeartbeatSchedule, HeartbeatTimer};
 
 /// In a large fleet heartbeats to other zones come seldom. With a fixed limit every host would take the
 /// hosts of other zones for silent between two heartbeats, keep their share of each rate for them, and
@@ -16,15 +16,15 @@
 #[test_case(360, 16)]
 #[tokio::test(start_paused = true)]
 async fn a_host_that_heartbeats_in_time_is_never_silent(hosts: usize, near: usize) {
-    let rhythm = HeartbeatRhythm::new(hosts, near);
-    let mut times = HeartbeatTimes::new(Instant::now());
+    let schedule = HeartbeatSchedule::new(hosts, near);
+    let mut times = HeartbeatTimer::new(Instant::now());
     let mut heard = [Instant::now(); 2];
 
     for _ in 0..200 {
         advance(times.next().saturating_duration_since(Instant::now())).await;
-        let due = times.take_due(&rhythm, Instant::now());
+        let due = times.take_due(&schedule, Instant::now());
         for (index, is_due) in [due.0, due.1].into_iter().enumerate() {
-            let silence = rhythm.silence(index == 0);
+            let silence = schedule.timeout(index == 0);
             assert!(heard[index].elapsed() * 3 < silence, "{:?}", heard[index].elapsed());
             if is_due {
                 heard[index] = Instant::now();
@@ -43,14 +43,14 @@
     near: usize,
     most_a_second: usize,
 ) {
-    let rhythm = HeartbeatRhythm::new(hosts, near);
-    let mut times = HeartbeatTimes::new(Instant::now());
-    times.take_due(&rhythm, Instant::now());
+    let schedule = HeartbeatSchedule::new(hosts, near);
+    let mut times = HeartbeatTimer::new(Instant::now());
+    times.take_due(&schedule, Instant::now());
     let (until, mut sent) = (Instant::now() + Duration::from_secs(4), 0);
 
     while times.next() < until {
         advance(times.next().saturating_duration_since(Instant::now())).await;
-        let (is_near_due, _) = times.take_due(&rhythm, Instant::now());
+        let (is_near_due, _) = times.take_due(&schedule, Instant::now());
         sent += usize::from(is_near_due) * (near - 1);
     }
 
@@ -67,15 +67,15 @@
     near: usize,
     most_a_second: usize,
 ) {
-    let rhythm = HeartbeatRhythm::new(hosts, near);
-    let mut times = HeartbeatTimes::new(Instant::now());
+    let schedule = HeartbeatSchedule::new(hosts, near);
+    let mut times = HeartbeatTimer::new(Instant::now());
     let mut sent = 0;
 
     for _ in 0..20_000 {
         advance(Duration::from_micros(100)).await;
-        times.hasten(&rhythm, Instant::now());
+        times.bring_forward(&schedule, Instant::now());
         if times.next() <= Instant::now() {
-            let due = times.take_due(&rhythm, Instant::now());
+            let due = times.take_due(&schedule, Instant::now());
             sent += usize::from(due.0) * (near - 1) + usize::from(due.1) * (hosts - near);
         }
     }
--- a/crates/cuminramp-fleet/src/slots.rs
+++ b/crates/cuminramp-fleet/src/slots.rs
@@ -8,9 +8,9 @@
 //! they have in flight, and to the next owner as soon as they find this one silent.
 //!
 //! - [`SlotSearch`] asks the owners of a pool's groups one after the other;
-//! - [`OwnerBook`] says which host owns a group, and which owners were found silent;
+//! - [`OwnerTable`] says which host owns a group, and which owners were found silent;
 //! - [`SlotLedger`] is what an owner knows and decides;
-//! - [`ReportTimes`] says when a host reports what it has in flight.
+//! - [`ReportTimer`] says when a host reports what it has in flight.
 
 mod grants;
 mod ledger;
@@ -19,13 +19,15 @@
 mod reports;
 mod search;
 
-pub use grants::GrantNumbers;
+pub use grants::GrantSequence;
 pub use ledger::{GroupShare, ItemGrant, ItemLimit, SlotLedger};
-pub use message::{OwnerClaim, SlotAnswer, SlotAsk, SlotGroup, SlotOrder, SlotOutcome, SlotReport};
-pub use owners::OwnerBook;
-pub use reports::ReportTimes;
-pub(crate) use search::return_after;
-pub use search::{SearchNeed, SearchStep, SlotSearch};
+pub use message::{
+    OwnerFailure, SlotCommand, SlotGroup, SlotOutcome, SlotReport, SlotRequest, SlotResponse,
+};
+pub use owners::OwnerTable;
+pub use reports::ReportTimer;
+pub(crate) use search::retry_after;
+pub use search::{SearchLimits, SearchStep, SlotSearch};
 
 #[cfg(test)]
 mod tests;
--- a/crates/cuminramp-fleet/src/slots/ledger.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger.rs
@@ -6,11 +6,11 @@
 use cuminramp_core::{HostId, RandomSource, SortedMap};
 use tokio::time::Instant;
 
-use super::message::{SlotAnswer, SlotAsk, SlotGroup, SlotOutcome, SlotReport};
+use super::message::{SlotGroup, SlotOutcome, SlotReport, SlotRequest, SlotResponse};
 use crate::heartbeat::TargetLoad;
 #[cfg(test)]
 use crate::placement::WorkKind;
-use crate::placement::{ColdShare, GroupNeed, GroupPlace, TargetBoard};
+use crate::placement::{ColdShare, GroupPlacement, GroupRequest, PlacementTable};
 
 mod account;
 mod items;
@@ -45,9 +45,9 @@
 }
 
 #[derive(Debug)]
-struct KeptAnswer {
+struct KeptResponse {
     host: HostId,
-    answer: SlotAnswer,
+    response: SlotResponse,
     at: Instant,
 }
 
@@ -76,7 +76,7 @@
     me: HostId,
     accounts: SortedMap<(HostId, u32), GroupAccount>,
     owned: SortedMap<u32, OwnedGroup>,
-    answers: Vec<KeptAnswer>,
+    responses: Vec<KeptResponse>,
     /// What hosts were asked lately to keep at targets.
     limits_sent: SortedMap<(HostId, u32), (u16, Instant)>,
     last_grant: u64,
@@ -91,22 +91,22 @@
             me,
             accounts: SortedMap::new(),
             owned: SortedMap::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             limits_sent: SortedMap::new(),
             last_grant,
         }
     }
 
     /// Forgets everything, as after a pause in which other hosts had another owner.
-    pub fn begin_anew(&mut self, board: &mut TargetBoard) {
+    pub fn reset(&mut self, placement: &mut PlacementTable) {
         let accounts = std::mem::take(&mut self.accounts);
-        accounts.keys().for_each(|(host, _)| board.forget_host(host));
+        accounts.keys().for_each(|(host, _)| placement.forget_host(host));
         self.owned = SortedMap::new();
-        self.answers.clear();
+        self.responses.clear();
     }
 
     /// Takes note that this host owns a group, or answers for it.
-    pub fn note_owned(&mut self, group: u32, now: Instant) {
+    pub fn record_ownership(&mut self, group: u32, now: Instant) {
         let fresh = || OwnedGroup { since: now, noted: now, callers: VecDeque::new() };
         self.owned.get_or_insert_with(group, fresh).noted = now;
     }
@@ -118,7 +118,7 @@
 
     /// Whether this host has owned a group for long enough to hand out the rate of cold targets: what the
     /// owner before handed out is over by then.
-    pub fn may_warm(&self, group: u32, now: Instant) -> bool {
+    pub fn may_use_cold_targets(&self, group: u32, now: Instant) -> bool {
         self.owned.get(&group).is_some_and(|owned| now.duration_since(owned.since) >= WARM_AFTER)
     }
 
@@ -127,31 +127,31 @@
     }
 
     /// Takes a report; `false` if it is older than what is known.
-    pub fn hear(
+    pub fn receive_report(
         &mut self,
-        board: &mut TargetBoard,
+        placement: &mut PlacementTable,
         host: &HostId,
         report: SlotReport,
         now: Instant,
     ) -> bool {
-        self.note_owned(report.group, now);
+        self.record_ownership(report.group, now);
         let group = report.group;
         let account = self.accounts.get_or_insert_with((host.clone(), group), Default::default);
         if account.sequence >= report.sequence {
             return false;
         }
         account.sequence = report.sequence;
-        account.heard_at = Some(now);
-        account.pending.retain(|grant| grant.number > report.seen_grant);
-        let told = report.told.clone();
+        account.last_report_at = Some(now);
+        account.pending.retain(|grant| grant.number > report.acknowledged_grant);
+        let told = report.reported_loads.clone();
         account.report = Some(report);
-        self.tell_board(board, host, now);
-        board.hear_loads(&told, now);
+        self.update_placement(placement, host, now);
+        placement.receive_reported_loads(&told, now);
         true
     }
 
     /// Counts what a host has in flight anew, over all its groups.
-    fn tell_board(&self, board: &mut TargetBoard, host: &HostId, now: Instant) {
+    fn update_placement(&self, placement: &mut PlacementTable, host: &HostId, now: Instant) {
         let mut loads: SortedMap<u32, TargetLoad> = SortedMap::new();
         let mut outcomes = Vec::new();
         for (_, account) in self.accounts.iter().filter(|((of, _), _)| of == host) {
@@ -163,13 +163,13 @@
             }
             outcomes.extend(account.report.iter().flat_map(|report| report.outcomes.clone()));
         }
-        board.hear(host, loads.values().copied().collect());
-        board.hear_outcomes(host, outcomes, now);
+        placement.receive_loads(host, loads.values().copied().collect());
+        placement.receive_outcomes(host, outcomes, now);
     }
 
     fn grant(
         &mut self,
-        board: &mut TargetBoard,
+        placement: &mut PlacementTable,
         host: &HostId,
         group: u32,
         load: TargetLoad,
@@ -183,7 +183,7 @@
         }
         let account = self.accounts.get_or_insert_with((host.clone(), group), Default::default);
         account.pending.push(PendingGrant { number, load, at: now });
-        self.tell_board(board, host, now);
+        self.update_placement(placement, host, now);
         number
     }
 
@@ -191,43 +191,46 @@
     /// a second slot would stand empty.
     pub fn answer(
         &mut self,
-        board: &mut TargetBoard,
+        placement: &mut PlacementTable,
         host: &HostId,
         owned: GroupShare<'_>,
-        ask: &SlotAsk,
+        request: &SlotRequest,
         random: &mut dyn RandomSource,
         now: Instant,
-    ) -> SlotAnswer {
-        self.note_owned(ask.group, now);
-        self.answers.retain(|kept| now.duration_since(kept.at) < ANSWER_LIFE);
-        let before =
-            self.answers.iter().find(|kept| kept.answer.ask == ask.ask && kept.host == *host);
+    ) -> SlotResponse {
+        self.record_ownership(request.group, now);
+        self.responses.retain(|kept| now.duration_since(kept.at) < ANSWER_LIFE);
+        let before = self
+            .responses
+            .iter()
+            .find(|kept| kept.response.request == request.request && kept.host == *host);
         if let Some(before) = before {
-            return before.answer;
+            return before.response;
         }
         let GroupShare { group, share } = owned;
-        let need = GroupNeed { group, avoided: &ask.avoided, may_queue: ask.may_queue, share };
-        let outcome = match board.place_in_group(&need, random, now) {
-            GroupPlace::Slot(target) => {
+        let group_request =
+            GroupRequest { group, avoided: &request.avoided, may_queue: request.may_queue, share };
+        let outcome = match placement.place_in_group(&group_request, random, now) {
+            GroupPlacement::Slot(target) => {
                 let load = TargetLoad { target, online: 1, batch: 0 };
-                if let Some(owned) = self.owned.get_mut(&ask.group) {
+                if let Some(owned) = self.owned.get_mut(&request.group) {
                     owned.callers.push_back(now);
                 }
-                board.note_sends(target, 1, now);
-                let grant = self.grant(board, host, ask.group, load, now);
+                placement.record_sends(target, 1, now);
+                let grant = self.grant(placement, host, request.group, load, now);
                 SlotOutcome::Granted { target, grant }
             }
-            GroupPlace::Busy(wait) => SlotOutcome::Busy { wait_ms: wait.as_millis() as u32 },
-            GroupPlace::Empty => SlotOutcome::Empty,
+            GroupPlacement::Busy(wait) => SlotOutcome::Busy { wait_ms: wait.as_millis() as u32 },
+            GroupPlacement::Empty => SlotOutcome::Empty,
         };
-        let answer = SlotAnswer { ask: ask.ask, outcome };
-        self.answers.push(KeptAnswer { host: host.clone(), answer, at: now });
-        answer
+        let response = SlotResponse { request: request.request, outcome };
+        self.responses.push(KeptResponse { host: host.clone(), response, at: now });
+        response
     }
 
     /// Drops grants that were not used and hosts that fell silent.
-    pub fn expire(&mut self, board: &mut TargetBoard, now: Instant) {
-        board.fade_foreign(now);
+    pub fn expire(&mut self, placement: &mut PlacementTable, now: Instant) {
+        placement.fade_orphaned(now);
         let mut changed: Vec<HostId> = Vec::new();
         self.accounts.retain(|(host, _), account| {
             let pending = account.pending.len();
@@ -242,9 +245,9 @@
         changed.dedup();
         for host in changed {
             if self.accounts.keys().any(|(of, _)| *of == host) {
-                self.tell_board(board, &host, now);
+                self.update_placement(placement, &host, now);
             } else {
-                board.forget_host(&host);
+                placement.forget_host(&host);
             }
         }
     }
--- a/crates/cuminramp-fleet/src/slots/ledger/account.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger/account.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub(super) struct GroupAccount {
     pub(super) sequence: u64,
-    pub(super) heard_at: Option<Instant>,
+    pub(super) last_report_at: Option<Instant>,
     pub(super) report: Option<SlotReport>,
     /// Grants that no report confirms yet.
     pub(super) pending: Vec<PendingGrant>,
@@ -31,8 +31,8 @@
 
 impl GroupAccount {
     pub(super) fn is_alive(&self, now: Instant) -> bool {
-        let is_heard = self.heard_at.is_some_and(|at| now.duration_since(at) < REPORT_LIFE);
-        is_heard || !self.pending.is_empty()
+        let is_alive = self.last_report_at.is_some_and(|at| now.duration_since(at) < REPORT_LIFE);
+        is_alive || !self.pending.is_empty()
     }
 
     pub(super) fn loads(&self) -> impl Iterator<Item = &TargetLoad> {
--- a/crates/cuminramp-fleet/src/slots/ledger/items.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger/items.rs
@@ -6,9 +6,9 @@
 use tokio::time::Instant;
 
 use super::SlotLedger;
-use crate::demand::{ItemDemand, share_room};
+use crate::demand::{ItemDemand, allocate_slots};
 use crate::heartbeat::TargetLoad;
-use crate::placement::{ColdShare, TargetBoard};
+use crate::placement::{ColdShare, PlacementTable};
 use crate::slots::SlotGroup;
 
 /// An item leaves a target within a few milliseconds of being asked to, and its host reports it.
@@ -45,7 +45,7 @@
     /// items that wait at this host.
     pub fn grant_items(
         &mut self,
-        board: &mut TargetBoard,
+        placement: &mut PlacementTable,
         group: &SlotGroup,
         own: Vec<ItemDemand>,
         share: &ColdShare,
@@ -64,10 +64,10 @@
         if demands.is_empty() {
             return grants;
         }
-        let mut free = board.free_for_items(group, share, now);
+        let mut free = placement.free_for_items(group, share, now);
         let reserve = self.owned.get_mut(&hash).map_or(0, |owned| owned.reserve(now));
         let room = free.iter().map(|(_, slots)| slots).sum::<u32>().saturating_sub(reserve);
-        let mut shares = share_room(room, &demands);
+        let mut shares = allocate_slots(room, &demands);
         for (host, share) in &mut shares {
             while *share > 0 && grants.len() < MOST_ITEM_GRANTS {
                 let account = self.accounts.get(&(host.clone(), hash));
@@ -86,8 +86,8 @@
         }
         for grant in &mut grants {
             let load = TargetLoad { target: grant.target, online: 0, batch: grant.items };
-            board.note_sends(grant.target, grant.items, now);
-            grant.grant = self.grant(board, &grant.host, hash, load, now);
+            placement.record_sends(grant.target, grant.items, now);
+            grant.grant = self.grant(placement, &grant.host, hash, load, now);
         }
         grants
     }
@@ -97,11 +97,11 @@
     /// only after a moment, in case the message got lost.
     pub fn item_limits(
         &mut self,
-        board: &TargetBoard,
+        placement: &PlacementTable,
         group: &SlotGroup,
         now: Instant,
     ) -> Vec<ItemLimit> {
-        let mut limits = self.find_limits(board, group);
+        let mut limits = self.find_limits(placement, group);
         self.limits_sent.retain(|_, (_, at)| now.duration_since(*at) < REPEAT_LIMIT);
         limits.retain(|limit| {
             let key = (limit.host.clone(), limit.target);
@@ -115,10 +115,10 @@
         limits
     }
 
-    fn find_limits(&self, board: &TargetBoard, group: &SlotGroup) -> Vec<ItemLimit> {
+    fn find_limits(&self, placement: &PlacementTable, group: &SlotGroup) -> Vec<ItemLimit> {
         let hash = group.hash();
         let mut limits = Vec::new();
-        for (target, over, own_items) in board.overfull(group) {
+        for (target, over, own_items) in placement.overfull(group) {
             let mut over = over;
             let own = (own_items > 0).then(|| (self.me.clone(), own_items));
             let others = self.accounts.iter().filter(|((_, of), _)| *of == hash);
--- a/crates/cuminramp-fleet/src/slots/message.rs
+++ b/crates/cuminramp-fleet/src/slots/message.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::demand::ItemDemand;
-use crate::heartbeat::{TargetLoad, ToldLoad, name_hash};
+use crate::heartbeat::{ReportedLoad, TargetLoad, name_hash};
 use crate::outliers::TargetOutcomes;
 
 /// The targets of one pool in one availability zone.
@@ -45,11 +45,11 @@
     /// The group, as [`SlotGroup::hash`] gives it.
     pub group: u32,
     /// The last grant of the receiver that this host has; earlier ones are in `loads` or were not used.
-    pub seen_grant: u64,
+    pub acknowledged_grant: u64,
     /// What it has in flight; targets with nothing are left out.
     pub loads: Vec<TargetLoad>,
     /// What targets said of their load since the last report.
-    pub told: Vec<ToldLoad>,
+    pub reported_loads: Vec<ReportedLoad>,
     /// What came of its sends to targets that failed any host lately.
     pub outcomes: Vec<TargetOutcomes>,
     /// Targets that it sends nothing for a while: they refused it, or can't be reached from it.
@@ -60,11 +60,11 @@
 
 /// A request's question for a slot.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SlotAsk {
+pub struct SlotRequest {
     /// The asking host's run.
     pub incarnation: Incarnation,
     /// Names the question among those of the run; the same one again gets the same answer.
-    pub ask: u64,
+    pub request: u64,
     /// The group.
     pub group: u32,
     /// Targets that are no use to the request: it was there, or they can't be reached.
@@ -94,16 +94,16 @@
 
 /// The answer to a question.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SlotAnswer {
+pub struct SlotResponse {
     /// The question.
-    pub ask: u64,
+    pub request: u64,
     /// What the owner decided.
     pub outcome: SlotOutcome,
 }
 
 /// What an owner tells a host to do with its batch items.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum SlotOrder {
+pub enum SlotCommand {
     /// Start items at a target.
     Start {
         /// The group.
@@ -116,7 +116,7 @@
         items: u16,
     },
     /// Keep no more items than this at a target: the others give way to callers.
-    Keep {
+    Limit {
         /// The target.
         target: u32,
         /// How many, at the most.
@@ -126,18 +126,18 @@
 
 /// Said by the owner that takes the place of a silent one, so that all report to it at once.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct OwnerClaim {
+pub struct OwnerFailure {
     /// The group.
     pub group: u32,
     /// The address of the host that was found silent.
-    pub silent_address: Name,
+    pub failed_address: Name,
     /// Its run.
-    pub silent_incarnation: Incarnation,
+    pub failed_incarnation: Incarnation,
 }
 
-impl OwnerClaim {
+impl OwnerFailure {
     /// The run that was found silent.
-    pub fn silent(&self) -> HostId {
-        HostId { address: self.silent_address.clone(), incarnation: self.silent_incarnation }
+    pub fn failed_host(&self) -> HostId {
+        HostId { address: self.failed_address.clone(), incarnation: self.failed_incarnation }
     }
 }
--- a/crates/cuminramp-fleet/src/slots/owners.rs
+++ b/crates/cuminramp-fleet/src/slots/owners.rs
@@ -28,15 +28,15 @@
 
 /// Owners that were found silent lately, by this host or another.
 #[derive(Debug, Default)]
-pub struct OwnerBook {
+pub struct OwnerTable {
     silences: SortedMap<HostId, Silence>,
-    claims: SortedMap<HostId, (Name, Instant)>,
+    failures: SortedMap<HostId, (Name, Instant)>,
     choices: SortedMap<SlotGroup, (Option<HostId>, Instant)>,
 }
 
-impl OwnerBook {
+impl OwnerTable {
     /// Passes a host over for a while; says whether it was not passed over already.
-    pub fn pass_over(&mut self, host: &HostId, now: Instant) -> bool {
+    pub fn exclude(&mut self, host: &HostId, now: Instant) -> bool {
         self.silences.retain(|_, silence| silence.until + FORGIVE_AFTER > now);
         let fresh = Silence { until: now, repeats: 0 };
         let silence = self.silences.get_or_insert_with(host.clone(), || fresh);
@@ -52,17 +52,17 @@
 
     /// Takes the claim of another host that an owner is silent; says whether it is passed over now and was
     /// not before. It takes two hosts: one alone may itself be slow or cut off.
-    pub fn hear_claim(&mut self, from: &Name, silent: &HostId, now: Instant) -> bool {
-        self.claims.retain(|_, (_, at)| now.duration_since(*at) < CLAIM_LIFE);
-        let first = self.claims.get(silent).is_none_or(|(by, _)| by == from);
+    pub fn receive_failure(&mut self, from: &Name, failed: &HostId, now: Instant) -> bool {
+        self.failures.retain(|_, (_, at)| now.duration_since(*at) < CLAIM_LIFE);
+        let first = self.failures.get(failed).is_none_or(|(by, _)| by == from);
         if first {
-            self.claims.insert(silent.clone(), (from.clone(), now));
+            self.failures.insert(failed.clone(), (from.clone(), now));
             return false;
         }
-        self.pass_over(silent, now)
+        self.exclude(failed, now)
     }
 
-    fn is_passed_over(&self, host: &HostId, now: Instant) -> bool {
+    fn is_excluded(&self, host: &HostId, now: Instant) -> bool {
         self.silences.get(host).is_some_and(|silence| silence.until > now)
     }
 
@@ -93,7 +93,7 @@
         now: Instant,
     ) -> Option<HostId> {
         let live = peers.live(is_me_ready, now);
-        let able = live.iter().filter(|(id, _)| !self.is_passed_over(id, now));
+        let able = live.iter().filter(|(id, _)| !self.is_excluded(id, now));
         let key = group.key();
         let ranked = able.map(|(id, zone)| {
             let is_near = **zone == group.zone;
--- a/crates/cuminramp-fleet/src/slots/reports.rs
+++ b/crates/cuminramp-fleet/src/slots/reports.rs
@@ -22,22 +22,22 @@
 
 /// When the next report to each group's owner is due.
 #[derive(Debug, Default)]
-pub struct ReportTimes {
+pub struct ReportTimer {
     groups: SortedMap<SlotGroup, GroupTimes>,
 }
 
-impl ReportTimes {
+impl ReportTimer {
     /// Something changed that the owner does not know: a slot came free, or items wait.
-    pub fn hasten(&mut self, group: &SlotGroup, now: Instant) {
-        self.bring_forward(group, now + CHANGE_DELAY);
+    pub fn bring_forward(&mut self, group: &SlotGroup, now: Instant) {
+        self.set_due(group, now + CHANGE_DELAY);
     }
 
     /// Something changed that the owner decided itself: the usual report will do.
-    pub fn note(&mut self, group: &SlotGroup, now: Instant) {
-        self.bring_forward(group, now + REFRESH / 2);
+    pub fn schedule(&mut self, group: &SlotGroup, now: Instant) {
+        self.set_due(group, now + REFRESH / 2);
     }
 
-    fn bring_forward(&mut self, group: &SlotGroup, due: Instant) {
+    fn set_due(&mut self, group: &SlotGroup, due: Instant) {
         let fresh = GroupTimes { due, left: FINAL_REPORTS };
         let times = self.groups.get_or_insert_with(group.clone(), || fresh);
         times.due = times.due.min(due);
@@ -70,7 +70,7 @@
     }
 
     /// All groups with something to report, as when an owner changed.
-    pub fn hasten_all(&mut self, now: Instant) {
+    pub fn bring_all_forward(&mut self, now: Instant) {
         for (_, times) in self.groups.iter_mut() {
             times.due = times.due.min(now + CHANGE_DELAY);
         }
--- a/crates/cuminramp-fleet/src/slots/search.rs
+++ b/crates/cuminramp-fleet/src/slots/search.rs
@@ -32,11 +32,11 @@
 
 /// How long a request may wait for a slot.
 #[derive(Clone, Copy, Debug)]
-pub struct SearchNeed {
+pub struct SearchLimits {
     /// The longest wait at a target with which it is still in time.
-    pub longest_wait: Duration,
+    pub max_wait: Duration,
     /// Whether it was refused before: it is not refused twice while it can be answered at all.
-    pub is_again: bool,
+    pub is_retry: bool,
 }
 
 /// Asks the groups of a pool, the caller's own zone first. A slot in another zone is worth more than a
@@ -78,16 +78,16 @@
     /// ```
     /// use std::time::Duration;
     /// use cuminramp_core::SeededRandom;
-    /// use cuminramp_fleet::{SearchNeed, SearchStep, SlotGroup, SlotOutcome, SlotSearch};
+    /// use cuminramp_fleet::{SearchLimits, SearchStep, SlotGroup, SlotOutcome, SlotSearch};
     /// let group = SlotGroup { pool: "p".into(), zone: "z".into() };
     /// let mut random = SeededRandom::new(1);
     /// let mut search = SlotSearch::new(vec![group.clone()], "z", &mut random);
-    /// let need = SearchNeed { longest_wait: Duration::from_millis(180), is_again: false };
-    /// assert_eq!(search.next(need, &mut random), SearchStep::Ask { group: group.clone(), may_queue: false });
-    /// search.hear(SlotOutcome::Busy { wait_ms: 90 });
-    /// assert_eq!(search.next(need, &mut random), SearchStep::Ask { group, may_queue: true });
+    /// let limits = SearchLimits { max_wait: Duration::from_millis(180), is_retry: false };
+    /// assert_eq!(search.next(limits, &mut random), SearchStep::Ask { group: group.clone(), may_queue: false });
+    /// search.receive(SlotOutcome::Busy { wait_ms: 90 });
+    /// assert_eq!(search.next(limits, &mut random), SearchStep::Ask { group, may_queue: true });
     /// ```
-    pub fn next(&mut self, need: SearchNeed, random: &mut dyn RandomSource) -> SearchStep {
+    pub fn next(&mut self, limits: SearchLimits, random: &mut dyn RandomSource) -> SearchStep {
         if let Some(group) = self.left.pop() {
             self.asked = Some(group.clone());
             return SearchStep::Ask { group, may_queue: false };
@@ -95,18 +95,18 @@
         let Some((wait, group)) = self.shortest.take() else { return SearchStep::Nowhere };
         if self.is_queueing {
             // The queue that was the shortest has no place any more.
-            return SearchStep::Refuse(return_after(wait, random));
+            return SearchStep::Refuse(retry_after(wait, random));
         }
-        if wait <= need.longest_wait || need.is_again {
+        if wait <= limits.max_wait || limits.is_retry {
             self.is_queueing = true;
             self.asked = Some(group.clone());
             return SearchStep::Ask { group, may_queue: true };
         }
-        SearchStep::Refuse(return_after(wait, random))
+        SearchStep::Refuse(retry_after(wait, random))
     }
 
     /// Takes the answer of the group that was asked last.
-    pub fn hear(&mut self, outcome: SlotOutcome) {
+    pub fn receive(&mut self, outcome: SlotOutcome) {
         let Some(group) = self.asked.take() else { return };
         if let SlotOutcome::Busy { wait_ms } = outcome {
             let wait = Duration::from_millis(u64::from(wait_ms));
@@ -118,7 +118,7 @@
 }
 
 /// When a refused request should come back: not before there may be room, and not all at one moment.
-pub(crate) fn return_after(wait: Duration, random: &mut dyn RandomSource) -> Duration {
+pub(crate) fn retry_after(wait: Duration, random: &mut dyn RandomSource) -> Duration {
     let (soonest, latest) = RETURN_BOUNDS;
     let drawn = soonest + (latest - soonest) * random.fraction();
     Duration::from_secs_f64(drawn.max(wait.as_secs_f64().min(latest)))
--- a/crates/cuminramp-fleet/src/slots/tests.rs
+++ b/crates/cuminramp-fleet/src/slots/tests.rs
@@ -4,13 +4,13 @@
 use tokio::time::{Instant, advance};
 
 use super::{
-    GrantNumbers, GroupShare, ItemGrant, ItemLimit, SlotAnswer, SlotAsk, SlotGroup, SlotLedger,
-    SlotOutcome, SlotReport,
+    GrantSequence, GroupShare, ItemGrant, ItemLimit, SlotGroup, SlotLedger, SlotOutcome,
+    SlotReport, SlotRequest, SlotResponse,
 };
 use crate::demand::ItemDemand;
 use crate::heartbeat::{TargetLoad, name_hash};
 use crate::placement::{
-    ColdShare, FleetTarget, PlacementPolicy, TargetBoard, TargetPhase, WorkKind,
+    ColdShare, FleetTarget, PlacementPolicy, PlacementTable, TargetPhase, WorkKind,
 };
 
 mod cold;
@@ -34,7 +34,7 @@
         zone: "z1".into(),
         slots: 8,
         phase: TargetPhase::Serving,
-        born_ms: 1,
+        started_at_ms: 1,
         cold_for: Duration::ZERO,
     }
 }
@@ -48,9 +48,9 @@
         incarnation: 1,
         sequence,
         group: group().hash(),
-        seen_grant: 0,
+        acknowledged_grant: 0,
         loads,
-        told: vec![],
+        reported_loads: vec![],
         outcomes: vec![],
         avoided: vec![],
         demand: vec![],
@@ -63,7 +63,7 @@
 
 /// The owner "o" of a group, with its board.
 struct Owner {
-    board: TargetBoard,
+    placement: PlacementTable,
     ledger: SlotLedger,
     random: SeededRandom,
     asks: u64,
@@ -71,26 +71,31 @@
 
 impl Owner {
     fn new(targets: &[&str]) -> Self {
-        let mut board = TargetBoard::new("z1".into(), PlacementPolicy::default());
-        targets.iter().for_each(|id| board.put(target(id)));
-        Owner { board, ledger: SlotLedger::new(host("o")), random: SeededRandom::new(1), asks: 0 }
+        let mut placement = PlacementTable::new("z1".into(), PlacementPolicy::default());
+        targets.iter().for_each(|id| placement.put(target(id)));
+        Owner {
+            placement,
+            ledger: SlotLedger::new(host("o")),
+            random: SeededRandom::new(1),
+            asks: 0,
+        }
     }
 
     fn hear(&mut self, from: &str, report: SlotReport) -> bool {
-        self.ledger.hear(&mut self.board, &host(from), report, Instant::now())
+        self.ledger.receive_report(&mut self.placement, &host(from), report, Instant::now())
     }
 
-    fn answer(&mut self, from: &str, ask: &SlotAsk) -> SlotAnswer {
-        let (board, random) = (&mut self.board, &mut self.random);
+    fn answer(&mut self, from: &str, slot_request: &SlotRequest) -> SlotResponse {
+        let (placement, random) = (&mut self.placement, &mut self.random);
         let now = Instant::now();
         let owned = GroupShare { group: &group(), share: &ColdShare::Owner };
-        self.ledger.answer(board, &host(from), owned, ask, random, now)
+        self.ledger.answer(placement, &host(from), owned, slot_request, random, now)
     }
 
     fn ask(&mut self, from: &str, may_queue: bool) -> SlotOutcome {
         self.asks += 1;
-        let ask = make_ask(self.asks, may_queue);
-        self.answer(from, &ask).outcome
+        let slot_request = make_request(self.asks, may_queue);
+        self.answer(from, &slot_request).outcome
     }
 
     /// The target and number of a grant.
@@ -102,12 +107,12 @@
     }
 
     fn limits(&mut self) -> Vec<ItemLimit> {
-        self.ledger.item_limits(&self.board, &group(), Instant::now())
+        self.ledger.item_limits(&self.placement, &group(), Instant::now())
     }
 
     fn grant_items(&mut self, own: Vec<ItemDemand>) -> Vec<ItemGrant> {
         let now = Instant::now();
-        self.ledger.grant_items(&mut self.board, &group(), own, &ColdShare::Owner, now)
+        self.ledger.grant_items(&mut self.placement, &group(), own, &ColdShare::Owner, now)
     }
 
     fn online(&self, from: &str, id: &str) -> u32 {
@@ -115,8 +120,8 @@
     }
 }
 
-fn make_ask(ask: u64, may_queue: bool) -> SlotAsk {
-    SlotAsk { incarnation: 1, ask, group: group().hash(), avoided: vec![], may_queue }
+fn make_request(request: u64, may_queue: bool) -> SlotRequest {
+    SlotRequest { incarnation: 1, request, group: group().hash(), avoided: vec![], may_queue }
 }
 
 /// Time in which all hosts report to a new owner.
@@ -137,11 +142,11 @@
     taken.dedup_by(|left, right| left == right);
     assert_eq!(taken.len(), 3);
     assert_eq!(
-        ["e1", "e2", "e3"].map(|id| owner.board.get(id).map(|target| target.slots)),
+        ["e1", "e2", "e3"].map(|id| owner.placement.get(id).map(|target| target.slots)),
         [Some(8); 3]
     );
     assert!(matches!(beyond, SlotOutcome::Busy { .. }), "{beyond:?}");
-    assert_eq!(owner.board.occupancy("p"), (24, 24));
+    assert_eq!(owner.placement.occupancy("p"), (24, 24));
 }
 
 /// The first answer got lost, and the host asks again. With a second slot granted one would stand
@@ -149,13 +154,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_repeated_question_takes_no_second_slot() {
     let mut owner = Owner::new(&["e1"]);
-    let ask = make_ask(5, false);
+    let slot_request = make_request(5, false);
 
-    let first = owner.answer("a", &ask);
-    let second = owner.answer("a", &ask);
+    let first = owner.answer("a", &slot_request);
+    let second = owner.answer("a", &slot_request);
 
     assert_eq!(first, second);
-    assert_eq!(owner.board.occupancy("p"), (1, 8));
+    assert_eq!(owner.placement.occupancy("p"), (1, 8));
 }
 
 /// A host died with a slot that it had just been granted, or its answer never arrived. Kept for ever,
@@ -166,9 +171,9 @@
     owner.granted("a");
 
     advance(Duration::from_millis(300)).await;
-    owner.ledger.expire(&mut owner.board, Instant::now());
+    owner.ledger.expire(&mut owner.placement, Instant::now());
 
-    assert_eq!(owner.board.occupancy("p"), (0, 8));
+    assert_eq!(owner.placement.occupancy("p"), (0, 8));
 }
 
 /// A report that left before a grant arrived names nothing yet. Taken as the whole truth, it would
@@ -180,10 +185,10 @@
 
     owner.hear("a", report(1, vec![]));
     let before_it_came = owner.online("a", "e1");
-    let used = SlotReport { seen_grant: grant, ..report(2, vec![load("e1", 1, 0)]) };
+    let used = SlotReport { acknowledged_grant: grant, ..report(2, vec![load("e1", 1, 0)]) };
     owner.hear("a", used);
     let in_use = owner.online("a", "e1");
-    owner.hear("a", SlotReport { seen_grant: grant, ..report(3, vec![]) });
+    owner.hear("a", SlotReport { acknowledged_grant: grant, ..report(3, vec![]) });
 
     assert_eq!(target, name_hash("e1"));
     assert_eq!((before_it_came, in_use, owner.online("a", "e1")), (1, 1, 0));
@@ -194,16 +199,16 @@
 #[tokio::test(start_paused = true)]
 async fn an_overtaken_grant_is_not_used() {
     let mut owner = Owner::new(&["e1"]);
-    let mut numbers = GrantNumbers::default();
+    let mut numbers = GrantSequence::default();
     let ((_, first), (_, second)) = (owner.granted("a"), owner.granted("a"));
 
-    let is_second_used = numbers.take(second);
-    let seen_grant = numbers.tell();
-    owner.hear("a", SlotReport { seen_grant, ..report(1, vec![load("e1", 1, 0)]) });
+    let is_second_used = numbers.accept(second);
+    let acknowledged_grant = numbers.acknowledge();
+    owner.hear("a", SlotReport { acknowledged_grant, ..report(1, vec![load("e1", 1, 0)]) });
 
     assert!(is_second_used);
     assert_eq!(owner.online("a", "e1"), 1);
-    assert!(!numbers.take(first));
+    assert!(!numbers.accept(first));
 }
 
 /// Datagrams overtake each other. An old report in place of a new one would count work that has ended.
@@ -215,7 +220,7 @@
         [owner.hear("a", report(2, vec![])), owner.hear("a", report(1, vec![load("e1", 3, 0)]))];
 
     assert_eq!(taken, [true, false]);
-    assert_eq!(owner.board.occupancy("p"), (0, 8));
+    assert_eq!(owner.placement.occupancy("p"), (0, 8));
 }
 
 /// A host that was killed leaves its last report behind. Its slots would stay taken for good.
@@ -225,9 +230,9 @@
     owner.hear("a", report(1, vec![load("e1", 8, 0)]));
 
     advance(Duration::from_millis(500)).await;
-    owner.ledger.expire(&mut owner.board, Instant::now());
+    owner.ledger.expire(&mut owner.placement, Instant::now());
 
-    assert_eq!(owner.board.occupancy("p"), (0, 8));
+    assert_eq!(owner.placement.occupancy("p"), (0, 8));
 }
 
 /// Online callers arrive in a wave while batch work fills the targets. A caller that waited behind an
@@ -253,9 +258,9 @@
     let mut owner = Owner::new(&["e1"]);
 
     owner.granted("o");
-    owner.board.begin("e1", WorkKind::Online);
+    owner.placement.begin("e1", WorkKind::Online);
 
-    assert_eq!(owner.board.occupancy("p"), (1, 8));
+    assert_eq!(owner.placement.occupancy("p"), (1, 8));
 }
 
 /// Several hosts have items at a target that is over its slots. If each broke one off, work would be
@@ -382,8 +387,8 @@
     owner.hear("a", SlotReport { demand: waiting(9_000, 8), ..report(1, vec![load("e1", 8, 0)]) });
     settle().await;
 
-    owner.ledger.begin_anew(&mut owner.board);
+    owner.ledger.reset(&mut owner.placement);
 
-    assert_eq!(owner.board.occupancy("p"), (0, 8));
+    assert_eq!(owner.placement.occupancy("p"), (0, 8));
     assert_eq!(owner.grant_items(waiting(500, 1)), []);
 }
--- a/crates/cuminramp-fleet/src/slots/tests/cold.rs
+++ b/crates/cuminramp-fleet/src/slots/tests/cold.rs
@@ -5,12 +5,12 @@
 use cuminramp_core::SeededRandom;
 use tokio::time::{Instant, advance};
 
-use super::{Owner, group, host, make_ask, report, target, waiting};
+use super::{Owner, group, host, make_request, report, target, waiting};
 use crate::heartbeat::name_hash;
 use crate::homes::ZoneLimit;
 use crate::placement::{
-    ColdRule, ColdShare, ColdTolerance, FleetTarget, OnlineNeed, PlacementDecision,
-    PlacementPolicy, TargetBoard,
+    ColdRule, ColdShare, ColdTolerance, FleetTarget, PlacementDecision, PlacementPolicy,
+    PlacementRequest, PlacementTable,
 };
 use crate::slots::{GroupShare, SlotOutcome, SlotReport};
 
@@ -30,10 +30,10 @@
 fn owner(targets: &[FleetTarget]) -> Owner {
     let policy = PlacementPolicy { cold_tolerance: TOLERANCE, ..PlacementPolicy::default() };
     let mut owner = Owner::new(&[]);
-    owner.board = TargetBoard::new("z1".into(), policy);
+    owner.placement = PlacementTable::new("z1".into(), policy);
     let rule = ColdRule { requests_per_s: BORNE_PER_S, lasts: COLD_FOR };
-    owner.board.set_cold_rules([("p".into(), rule)].into_iter().collect());
-    targets.iter().for_each(|target| owner.board.put(target.clone()));
+    owner.placement.set_cold_rules([("p".into(), rule)].into_iter().collect());
+    targets.iter().for_each(|target| owner.placement.put(target.clone()));
     owner
 }
 
@@ -42,14 +42,14 @@
     let mut granted = 0;
     for _ in 0..asks {
         owner.asks += 1;
-        let ask = make_ask(owner.asks, true);
-        let (board, random) = (&mut owner.board, &mut owner.random);
+        let slot_request = make_request(owner.asks, true);
+        let (placement, random) = (&mut owner.placement, &mut owner.random);
         let now = Instant::now();
         let owned = GroupShare { group: &group(), share };
-        let answer = owner.ledger.answer(board, &host("a"), owned, &ask, random, now);
+        let answer = owner.ledger.answer(placement, &host("a"), owned, &slot_request, random, now);
         if let SlotOutcome::Granted { grant, .. } = answer.outcome {
             granted += 1;
-            let given_back = SlotReport { seen_grant: grant, ..report(owner.asks, vec![]) };
+            let given_back = SlotReport { acknowledged_grant: grant, ..report(owner.asks, vec![]) };
             owner.hear("a", given_back);
         }
     }
@@ -60,7 +60,7 @@
 #[tokio::test(start_paused = true)]
 async fn two_owners_and_hosts_alone_stay_below_what_a_cold_target_bears() {
     let mut owners = [owner(&[cold_target("t1")]), owner(&[cold_target("t1")])];
-    let lone = owners[0].board.cold_targets("p", None, Instant::now());
+    let lone = owners[0].placement.cold_targets("p", None, Instant::now());
     let alone = ColdShare::Alone(vec![name_hash("t1")]);
     let mut hosts: Vec<Owner> = (0..HOSTS).map(|_| owner(&[cold_target("t1")])).collect();
 
@@ -98,7 +98,7 @@
     let granted = ask_many(&mut owner, &ColdShare::Owner, 200);
 
     assert_eq!(granted, 200);
-    assert!(owner.board.by_hash(name_hash("t2")).is_some());
+    assert!(owner.placement.by_hash(name_hash("t2")).is_some());
 }
 
 /// Guards against a target that is never used again: after its time it takes what a warm one takes.
@@ -118,23 +118,24 @@
 #[tokio::test(start_paused = true)]
 async fn a_new_owner_waits_until_what_the_one_before_handed_out_is_over() {
     let mut owner = owner(&[cold_target("t1")]);
-    owner.ledger.note_owned(group().hash(), Instant::now());
+    owner.ledger.record_ownership(group().hash(), Instant::now());
 
-    let mut may_warm = Vec::new();
+    let mut may_use_cold_targets = Vec::new();
     for _ in 0..5 {
         advance(Duration::from_millis(500)).await;
-        owner.ledger.note_owned(group().hash(), Instant::now());
-        may_warm.push(owner.ledger.may_warm(group().hash(), Instant::now()));
+        owner.ledger.record_ownership(group().hash(), Instant::now());
+        may_use_cold_targets
+            .push(owner.ledger.may_use_cold_targets(group().hash(), Instant::now()));
     }
 
-    assert_eq!(may_warm, [false, false, false, false, true]);
+    assert_eq!(may_use_cold_targets, [false, false, false, false, true]);
 }
 
 /// Guards against items that use up the rate of a cold target while callers wait.
 #[tokio::test(start_paused = true)]
 async fn items_leave_callers_half_of_the_rate() {
     let mut owner = owner(&[cold_target("t1")]);
-    owner.ledger.note_owned(group().hash(), Instant::now());
+    owner.ledger.record_ownership(group().hash(), Instant::now());
     advance(Duration::from_millis(200)).await;
 
     let mut items = 0;
@@ -153,9 +154,9 @@
 async fn targets_of_a_zone_that_is_taken_back_count_as_cold() {
     let mut owner = owner(&[target("t1")]);
 
-    owner.board.set_drained(vec!["z1".into()], Instant::now());
+    owner.placement.set_drained(vec!["z1".into()], Instant::now());
     let drained = ask_many(&mut owner, &ColdShare::Owner, 10);
-    owner.board.set_drained(vec![], Instant::now());
+    owner.placement.set_drained(vec![], Instant::now());
     let taken_back = ask_many(&mut owner, &ColdShare::Owner, 100);
 
     assert_eq!(drained, 0);
@@ -166,25 +167,25 @@
 #[tokio::test(start_paused = true)]
 async fn a_drained_zone_gets_nothing_even_where_all_else_fails() {
     let mut owner = owner(&[target("t1")]);
-    owner.board.set_drained(vec!["z1".into()], Instant::now());
-    owner.board.saw_failure("t1", Instant::now());
-    owner.ledger.note_owned(group().hash(), Instant::now());
+    owner.placement.set_drained(vec!["z1".into()], Instant::now());
+    owner.placement.record_failure("t1", Instant::now());
+    owner.ledger.record_ownership(group().hash(), Instant::now());
     advance(Duration::from_millis(200)).await;
 
     let items = owner.grant_items(waiting(500, 8));
     let zones = ZoneLimit::none();
-    let need = OnlineNeed {
+    let request = PlacementRequest {
         pool: "p",
         objective: Duration::from_millis(300),
-        is_again: true,
+        is_retry: true,
         tried: &[],
         zones: &zones,
     };
     let random = &mut SeededRandom::new(1);
-    let alone = owner.board.place(&need, &ColdShare::Owner, random, Instant::now());
+    let alone = owner.placement.place(&request, &ColdShare::Owner, random, Instant::now());
 
     assert_eq!(items, []);
     assert_eq!(alone, PlacementDecision::Nowhere);
-    assert!(owner.board.groups("p").is_empty());
-    assert!(owner.board.granted(name_hash("t1")).is_none());
+    assert!(owner.placement.groups("p").is_empty());
+    assert!(owner.placement.granted(name_hash("t1")).is_none());
 }
--- a/crates/cuminramp-fleet/src/slots/tests/orphans.rs
+++ b/crates/cuminramp-fleet/src/slots/tests/orphans.rs
@@ -4,11 +4,11 @@
 use tokio::time::{Instant, advance};
 
 use super::{Owner, load, report};
-use crate::heartbeat::{ToldLoad, name_hash};
+use crate::heartbeat::{ReportedLoad, name_hash};
 use crate::slots::{SlotOutcome, SlotReport};
 
-fn told(id: &str, busy: u16) -> Vec<ToldLoad> {
-    vec![ToldLoad { target: name_hash(id), busy }]
+fn told(id: &str, busy: u16) -> Vec<ReportedLoad> {
+    vec![ReportedLoad { target: name_hash(id), busy }]
 }
 
 /// All hosts lost power, and a target works on items that nobody waits for. A caller who was sent there
@@ -16,7 +16,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_target_that_works_for_hosts_that_are_gone_gets_no_callers() {
     let mut owner = Owner::new(&["e1", "e2"]);
-    owner.hear("a", SlotReport { told: told("e1", 8), ..report(1, vec![]) });
+    owner.hear("a", SlotReport { reported_loads: told("e1", 8), ..report(1, vec![]) });
 
     let chosen: Vec<u32> = (0..8).map(|_| owner.granted("b").0).collect();
     let beyond = owner.ask("b", false);
@@ -30,7 +30,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_wait_behind_work_of_hosts_that_are_gone_is_told_as_long_as_it_is() {
     let mut owner = Owner::new(&["e1"]);
-    owner.hear("a", SlotReport { told: told("e1", 8), ..report(1, vec![]) });
+    owner.hear("a", SlotReport { reported_loads: told("e1", 8), ..report(1, vec![]) });
 
     let SlotOutcome::Busy { wait_ms } = owner.ask("b", false) else { panic!("a slot was granted") };
 
@@ -47,22 +47,22 @@
     owner.hear("a", report(1, vec![load("e1", 8, 0)]));
     advance(Duration::from_millis(100)).await;
 
-    owner.hear("a", SlotReport { told: told("e1", busy), ..report(2, vec![]) });
+    owner.hear("a", SlotReport { reported_loads: told("e1", busy), ..report(2, vec![]) });
 
-    assert_eq!(owner.board.occupancy("p"), (taken, 8));
+    assert_eq!(owner.placement.occupancy("p"), (taken, 8));
 }
 
 /// The target ends the work and nobody tells, since nothing is sent there. It has to come back by itself.
 #[tokio::test(start_paused = true)]
 async fn work_of_hosts_that_are_gone_is_forgotten_slot_by_slot() {
     let mut owner = Owner::new(&["e1"]);
-    owner.hear("a", SlotReport { told: told("e1", 8), ..report(1, vec![]) });
+    owner.hear("a", SlotReport { reported_loads: told("e1", 8), ..report(1, vec![]) });
 
     advance(Duration::from_millis(1_010)).await;
-    owner.ledger.expire(&mut owner.board, Instant::now());
-    let later = owner.board.occupancy("p");
+    owner.ledger.expire(&mut owner.placement, Instant::now());
+    let later = owner.placement.occupancy("p");
     advance(Duration::from_millis(1_010)).await;
-    owner.ledger.expire(&mut owner.board, Instant::now());
+    owner.ledger.expire(&mut owner.placement, Instant::now());
 
-    assert_eq!((later, owner.board.occupancy("p")), ((4, 8), (0, 8)));
+    assert_eq!((later, owner.placement.occupancy("p")), ((4, 8), (0, 8)));
 }
--- a/crates/cuminramp-fleet/src/slots/tests/search.rs
+++ b/crates/cuminramp-fleet/src/slots/tests/search.rs
@@ -2,30 +2,30 @@
 
 use cuminramp_core::SeededRandom;
 
-use crate::slots::{SearchNeed, SearchStep, SlotGroup, SlotOutcome, SlotSearch};
+use crate::slots::{SearchLimits, SearchStep, SlotGroup, SlotOutcome, SlotSearch};
 
 fn group(zone: &str) -> SlotGroup {
     SlotGroup { pool: "p".into(), zone: zone.into() }
 }
 
-fn need(is_again: bool) -> SearchNeed {
-    SearchNeed { longest_wait: Duration::from_millis(180), is_again }
+fn limits(is_retry: bool) -> SearchLimits {
+    SearchLimits { max_wait: Duration::from_millis(180), is_retry }
 }
 
 /// Asks until something else than a question follows; `waits` are the answers by zone.
 fn run(
     search: &mut SlotSearch,
-    need: SearchNeed,
+    limits: SearchLimits,
     waits: &[(&str, u32)],
 ) -> (Vec<String>, SearchStep) {
     let mut random = SeededRandom::new(3);
     let mut asked = Vec::new();
     loop {
-        match search.next(need, &mut random) {
+        match search.next(limits, &mut random) {
             SearchStep::Ask { group, may_queue: false } => {
                 let wait = waits.iter().find(|(zone, _)| *zone == &*group.zone);
                 asked.push(group.zone.to_string());
-                search.hear(match wait {
+                search.receive(match wait {
                     Some((_, wait_ms)) => SlotOutcome::Busy { wait_ms: *wait_ms },
                     None => SlotOutcome::Empty,
                 });
@@ -46,7 +46,7 @@
 fn the_own_zone_is_asked_first_and_then_the_others() {
     let mut search = search(&["z2", "z1", "z3"]);
 
-    let (asked, step) = run(&mut search, need(false), &[("z1", 300), ("z2", 90), ("z3", 200)]);
+    let (asked, step) = run(&mut search, limits(false), &[("z1", 300), ("z2", 90), ("z3", 200)]);
 
     assert_eq!(asked[0], "z1");
     assert_eq!(asked.len(), 3);
@@ -59,8 +59,8 @@
 fn a_request_that_would_be_late_is_turned_away_at_once_but_only_once() {
     let waits = [("z1", 300), ("z2", 270)];
 
-    let (_, refused) = run(&mut search(&["z1", "z2"]), need(false), &waits);
-    let (_, again) = run(&mut search(&["z1", "z2"]), need(true), &waits);
+    let (_, refused) = run(&mut search(&["z1", "z2"]), limits(false), &waits);
+    let (_, again) = run(&mut search(&["z1", "z2"]), limits(true), &waits);
 
     let SearchStep::Refuse(after) = refused else { panic!("{refused:?}") };
     assert!(after >= Duration::from_millis(250), "{after:?}");
@@ -75,7 +75,7 @@
     let names: Vec<&str> = zones.iter().map(String::as_str).collect();
     let waits: Vec<(&str, u32)> = names.iter().map(|zone| (*zone, 500)).collect();
 
-    let (asked, _) = run(&mut search(&names), need(false), &waits);
+    let (asked, _) = run(&mut search(&names), limits(false), &waits);
 
     assert_eq!(asked.len(), 5);
     assert_eq!(asked[0], "z1");
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_pool_without_targets_is_nowhere() {
-    let (_, step) = run(&mut search(&["z1"]), need(false), &[]);
+    let (_, step) = run(&mut search(&["z1"]), limits(false), &[]);
 
     assert_eq!(step, SearchStep::Nowhere);
 }
@@ -95,8 +95,8 @@
     let once = search(&["z1", "z2", "z3"]).after_failures(&["z1".into()]);
     let twice = search(&["z1", "z2", "z3"]).after_failures(&["z1".into(), "z1".into()]);
 
-    let (asked_after_one, _) = run(&mut { once }, need(false), &waits);
-    let (asked_after_two, _) = run(&mut { twice }, need(false), &waits);
+    let (asked_after_one, _) = run(&mut { once }, limits(false), &waits);
+    let (asked_after_two, _) = run(&mut { twice }, limits(false), &waits);
 
     assert_eq!(asked_after_one[0], "z1");
     assert_eq!(asked_after_two[2], "z1");
--- a/crates/cuminramp-fleet/src/steering.rs
+++ b/crates/cuminramp-fleet/src/steering.rs
@@ -13,9 +13,9 @@
 pub struct SteeringBounds {
     /// Hosts of the caller's zone under which it is told others in place of them: with one alone, its loss
     /// would leave the caller with nowhere to go until it asks again.
-    pub fewest_near: usize,
+    pub min_near: usize,
     /// Hosts in one answer.
-    pub most: usize,
+    pub max_hosts: usize,
 }
 
 /// Where a caller stands, and where its work may run.
@@ -43,20 +43,20 @@
         random: &mut dyn RandomSource,
     ) -> Vec<Name> {
         let near = named(live, |zone| *zone == self.zone);
-        if near.len() >= bounds.fewest_near {
+        if near.len() >= bounds.min_near {
             let is_other =
                 |zone: &AvailabilityZone| *zone != self.zone && self.region_zones.contains(zone);
             let others = draw(named(live, is_other), near.len() * OTHERS_FOR_EACH_NEAR, random);
             let all = near.into_iter().chain(others).collect();
-            return draw(all, bounds.most, random);
+            return draw(all, bounds.max_hosts, random);
         }
         for zones in [&self.region_zones, &self.home_zones] {
             let found = named(live, |zone| zones.contains(zone));
             if !found.is_empty() {
-                return draw(found, bounds.most, random);
+                return draw(found, bounds.max_hosts, random);
             }
         }
-        draw(named(live, |_| true), bounds.most, random)
+        draw(named(live, |_| true), bounds.max_hosts, random)
     }
 }
 
--- a/crates/cuminramp-fleet/src/steering/tests.rs
+++ b/crates/cuminramp-fleet/src/steering/tests.rs
@@ -4,7 +4,7 @@
 use crate::fixtures::known_host;
 use crate::heartbeat::KnownHost;
 
-const BOUNDS: SteeringBounds = SteeringBounds { fewest_near: 2, most: 64 };
+const BOUNDS: SteeringBounds = SteeringBounds { min_near: 2, max_hosts: 64 };
 /// Callers try a second host where the first does not answer.
 const TRIES: usize = 2;
 const CALLERS: usize = 2_000;
@@ -62,7 +62,7 @@
     named.dedup();
 
     assert_eq!(named.len(), hosts.len());
-    assert_eq!(choose(&area(&[]), &hosts, &mut random).len(), BOUNDS.most);
+    assert_eq!(choose(&area(&[]), &hosts, &mut random).len(), BOUNDS.max_hosts);
 }
 
 /// Guards against bodies that are sent to a host in a region which is neither the caller's nor a home.
--- a/crates/cuminramp-gateway/src/entry/answers.rs
+++ b/crates/cuminramp-gateway/src/entry/answers.rs
@@ -58,7 +58,7 @@
 }
 
 /// An answer of this host's own.
-pub(crate) fn whole_response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
+pub(crate) fn complete_response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::Whole(Full::new(body)));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -88,7 +88,7 @@
             "execution": refusal.execution.as_str(),
         }
     });
-    let mut response = whole_response(refusal_status(refusal), Bytes::from(body.to_string()));
+    let mut response = complete_response(refusal_status(refusal), Bytes::from(body.to_string()));
     let headers = response.headers_mut();
     headers.insert("cuminramp-code", refusal.code.number().into());
     headers.insert("cuminramp-execution", HeaderValue::from_static(refusal.execution.as_str()));
--- a/crates/cuminramp-gateway/src/entry/calls.rs
+++ b/crates/cuminramp-gateway/src/entry/calls.rs
@@ -135,20 +135,20 @@
     version: u64,
 ) -> Result<(), Refusal> {
     let Some(team) = team else { return Ok(()) };
-    let is_again = is_again(head, route);
+    let is_retry = is_retry(head, route);
     let until = Instant::now() + route.objective.mul_f64(RATE_WAIT_SHARE);
     loop {
         let now = Instant::now();
-        let decision = lock(&state.quota).admit(&team.name, is_again, now);
+        let decision = lock(&state.quota).admit(&team.name, is_retry, now);
         let QuotaDecision::Exceeded(after) = decision else {
-            state.want_heartbeat();
+            state.request_heartbeat();
             return Ok(());
         };
         if now + after < until {
             tokio::time::sleep(after.max(LEAST_RATE_WAIT)).await;
             continue;
         }
-        let back = lock(&state.quota).return_after(&team.name, now).min(LONGEST_RATE_PAUSE);
+        let back = lock(&state.quota).retry_after(&team.name, now).min(LONGEST_RATE_PAUSE);
         let reason =
             format!("team {} is above its rate, room in {} ms", team.name, after.as_millis());
         let refusal = Refusal::not_run(ResultCode::RateExceeded, reason).with_retry_after(back);
@@ -158,7 +158,7 @@
 }
 
 /// Whether a caller has been refused before: it has less of its usual time left.
-pub(crate) fn is_again(head: &CallHead, route: &RouteRule) -> bool {
+pub(crate) fn is_retry(head: &CallHead, route: &RouteRule) -> bool {
     let usual = route.timeout.as_secs_f64() * AGAIN_SHARE;
     head.deadline.is_some_and(|left| left.as_secs_f64() < usual)
 }
--- a/crates/cuminramp-gateway/src/entry/mod.rs
+++ b/crates/cuminramp-gateway/src/entry/mod.rs
@@ -5,7 +5,7 @@
 mod connections;
 mod service_points;
 
-pub(crate) use answers::{AnswerBody, PROMISES, refusal_response, whole_response};
-pub(crate) use calls::{answer_call, is_again};
+pub(crate) use answers::{AnswerBody, PROMISES, complete_response, refusal_response};
+pub(crate) use calls::{answer_call, is_retry};
 pub(crate) use connections::serve_callers;
 pub(crate) use service_points::{serve_metrics, serve_readiness, serve_steering};
--- a/crates/cuminramp-gateway/src/entry/service_points.rs
+++ b/crates/cuminramp-gateway/src/entry/service_points.rs
@@ -23,7 +23,7 @@
 /// Until the head of a small call is whole.
 const HEAD_LIMIT: Duration = Duration::from_secs(5);
 /// How many hosts a steering answer names.
-const NAMED_HOSTS: SteeringBounds = SteeringBounds { fewest_near: 2, most: 64 };
+const NAMED_HOSTS: SteeringBounds = SteeringBounds { min_near: 2, max_hosts: 64 };
 
 type SmallAnswer = Response<Full<Bytes>>;
 
@@ -113,7 +113,7 @@
 pub(crate) async fn serve_metrics(state: Arc<GatewayState>, listener: TcpListener) {
     serve_small(state, listener, |state, _| {
         let version = state.declared().map_or(0, |declared| declared.version());
-        let (heard, _) = lock(&state.peers).heard_of_all(Instant::now());
+        let (heard, _) = lock(&state.peers).count_alive(Instant::now());
         let held = lock(&state.jobs).jobs().count();
         state.metrics.note_state(version, heard, held);
         let drained = lock(&state.drains).drained().len();
--- a/crates/cuminramp-gateway/src/gateway.rs
+++ b/crates/cuminramp-gateway/src/gateway.rs
@@ -8,8 +8,8 @@
 
 use cuminramp_core::{HostId, Name, SeededRandom};
 use cuminramp_fleet::{
-    ColdTolerance, JobBoard, JobPolicy, KnownHost, PeerPolicy, PeerTable, PlacementPolicy,
-    QuotaBook, QuotaTolerance, RegionMap, TargetBoard,
+    ColdTolerance, JobPolicy, JobTable, KnownHost, PeerPolicy, PeerTable, PlacementPolicy,
+    PlacementTable, QuotaTable, QuotaTolerance, RegionMap,
 };
 use cuminramp_settings::GatewaySettings;
 use cuminramp_targets::CrashTable;
@@ -139,25 +139,25 @@
         GatewayMetrics::new().map_err(|error| GatewayError::Metrics(error.to_string()))?;
     Ok(GatewayState {
         declarations: Default::default(),
-        quota: QuotaBook::new(tolerance, now).into(),
-        board: TargetBoard::new(me.zone.clone(), placement).into(),
+        quota: QuotaTable::new(tolerance, now).into(),
+        placement: PlacementTable::new(me.zone.clone(), placement).into(),
         drains: Default::default(),
         regions,
         slots: SlotState::new(id),
         crashes: CrashTable::new(MOST_CRASHES, QUARANTINE).into(),
         peers: PeerTable::new(me.clone(), PEERS).into(),
-        jobs: JobBoard::new(JobPolicy::default()).into(),
+        jobs: JobTable::new(JobPolicy::default()).into(),
         directory: Default::default(),
-        keepers: Default::default(),
+        writers: Default::default(),
         running: Default::default(),
         connections: Default::default(),
-        news: Default::default(),
+        updates: Default::default(),
         random: std::sync::Mutex::new(Box::new(SeededRandom::new(rand::rng().next_u64()))),
         metrics,
         socket: OnceLock::new(),
         heartbeat_sequence: AtomicU64::new(1),
         has_read_hosts: AtomicBool::new(false),
-        asks_for_news: Semaphore::new(1),
+        asks_for_updates: Semaphore::new(1),
         heartbeat_wanted: Notify::new(),
         items_wanted: Notify::new(),
         started: now,
@@ -287,7 +287,7 @@
         let pause = match learn_hosts(&state).await {
             Ok(()) => {
                 state.has_read_hosts.store(true, Ordering::Relaxed);
-                lock(&state.peers).rhythm().stretch(LEARN_EVERY, LONGEST_LEARN)
+                lock(&state.peers).schedule().scale(LEARN_EVERY, LONGEST_LEARN)
             }
             Err(error) => {
                 state.metrics.count_store_failure("hosts");
@@ -325,8 +325,8 @@
 /// One line with what this host believes of the load, for whoever asks later why it decided so.
 fn log_load(state: &GatewayState) {
     let now = Instant::now();
-    let (heard, all) = lock(&state.peers).heard_of_all(now);
-    let (online, batch, own_online, own_batch, slots) = lock(&state.board).load();
+    let (heard, all) = lock(&state.peers).count_alive(now);
+    let (online, batch, own_online, own_batch, slots) = lock(&state.placement).load();
     let jobs = lock(&state.jobs);
     let (held, waiting) = (jobs.jobs().count(), jobs.waiting(now));
     drop(jobs);
--- a/crates/cuminramp-gateway/src/interfaces.rs
+++ b/crates/cuminramp-gateway/src/interfaces.rs
@@ -12,15 +12,15 @@
 
 /// Bytes that are not of the expected format.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct FormatFault(pub String);
+pub struct FormatError(pub String);
 
-impl fmt::Display for FormatFault {
+impl fmt::Display for FormatError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(&self.0)
     }
 }
 
-impl std::error::Error for FormatFault {}
+impl std::error::Error for FormatError {}
 
 /// The key that came with a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -175,7 +175,7 @@
         item: &ItemSpec,
         host: &str,
         head: &TargetHead<'_>,
-    ) -> Result<HeaderMap, FormatFault>;
+    ) -> Result<HeaderMap, FormatError>;
 
     /// Reads the head of a target's answer.
     fn read_answer(&self, parts: &response::Parts) -> AnswerHead;
@@ -184,7 +184,7 @@
     fn answer_headers(&self, parts: &response::Parts) -> HeaderMap;
 
     /// Reads the items of a job.
-    fn read_job(&self, body: &[u8]) -> Result<Vec<ItemSpec>, FormatFault>;
+    fn read_job(&self, body: &[u8]) -> Result<Vec<ItemSpec>, FormatError>;
 
     /// Writes results.
     fn write_results(&self, page: &ResultPage) -> Bytes;
@@ -205,10 +205,10 @@
     fn targets_table(&self) -> &'static str;
 
     /// Reads declarations; `None` where the row holds none.
-    fn read_declarations(&self, row: &Row) -> Result<Option<Arc<FleetDeclarations>>, FormatFault>;
+    fn read_declarations(&self, row: &Row) -> Result<Option<Arc<FleetDeclarations>>, FormatError>;
 
     /// Reads a target.
-    fn read_target(&self, row: &Row) -> Result<FleetTarget, FormatFault>;
+    fn read_target(&self, row: &Row) -> Result<FleetTarget, FormatError>;
 
     /// The zone that a row of the declarations' table drains, by its key alone.
     fn drained_zone(&self, key: &str) -> Option<AvailabilityZone>;
--- a/crates/cuminramp-gateway/src/jobs/accept.rs
+++ b/crates/cuminramp-gateway/src/jobs/accept.rs
@@ -15,7 +15,7 @@
 use super::directory::{KnownJob, unix_ms};
 use super::names::{gate_key, input_key, input_object, job_key, jobs_prefix};
 use super::{JobCaller, writer};
-use crate::entry::{AnswerBody, whole_response};
+use crate::entry::{AnswerBody, complete_response};
 use crate::state::{GatewayState, lock};
 
 /// How long a host tries to make a job durable. Callers wait four seconds and then ask another
@@ -90,7 +90,7 @@
             "job-refused"
         ),
     }
-    outcome.map(|_| whole_response(StatusCode::ACCEPTED, Bytes::from_static(b"{}")))
+    outcome.map(|_| complete_response(StatusCode::ACCEPTED, Bytes::from_static(b"{}")))
 }
 
 async fn accept(
@@ -118,7 +118,7 @@
     let items = state
         .calls
         .read_job(body)
-        .map_err(|fault| Refusal::not_run(ResultCode::BodyMalformed, fault.to_string()))?;
+        .map_err(|error| Refusal::not_run(ResultCode::BodyMalformed, error.to_string()))?;
     let mut draft = make_draft(state, route, caller, &id, &items, body, began);
     if draft.row.input_rows == 0 {
         store_input(state, &draft).await?;
--- a/crates/cuminramp-gateway/src/jobs/checkpoint.rs
+++ b/crates/cuminramp-gateway/src/jobs/checkpoint.rs
@@ -87,7 +87,7 @@
             let mut jobs = lock(&state.jobs);
             for (index, _, progress) in &unsaved.items {
                 if written.contains(index) {
-                    jobs.note_saved(&unsaved.job, *index, progress);
+                    jobs.mark_saved(&unsaved.job, *index, progress);
                 }
             }
             log::info!(job = &*unsaved.job, items = rows; "progress-saved");
--- a/crates/cuminramp-gateway/src/jobs/directory.rs
+++ b/crates/cuminramp-gateway/src/jobs/directory.rs
@@ -5,7 +5,7 @@
 
 use async_trait::async_trait;
 use cuminramp_core::{HostId, Name, SortedMap};
-use cuminramp_fleet::{EndedJob, HeartbeatRhythm};
+use cuminramp_fleet::{EndedJob, HeartbeatSchedule};
 use cuminramp_platform::{Row, RowChange, TableSnapshot};
 use cuminramp_wire::decode_row;
 use cuminramp_wire::fleet::{JobPhase, JobRow};
@@ -166,8 +166,8 @@
         JOBS
     }
 
-    fn pause(&self, rhythm: &HeartbeatRhythm) -> Duration {
-        rhythm.stretch(WATCH_PAUSE, LONGEST_WATCH_PAUSE)
+    fn pause(&self, schedule: &HeartbeatSchedule) -> Duration {
+        schedule.scale(WATCH_PAUSE, LONGEST_WATCH_PAUSE)
     }
 
     async fn reset(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot) {
--- a/crates/cuminramp-gateway/src/jobs/end.rs
+++ b/crates/cuminramp-gateway/src/jobs/end.rs
@@ -17,7 +17,7 @@
 use super::names::job_key;
 use super::read::find_job;
 use super::run::stop_job;
-use crate::entry::{AnswerBody, whole_response};
+use crate::entry::{AnswerBody, complete_response};
 use crate::state::GatewayState;
 
 /// How long a host tries to make the end durable.
@@ -56,7 +56,7 @@
         job = job, team = &*caller.team, took_ms = began.elapsed().as_millis() as u64;
         "job-ended"
     );
-    Ok(whole_response(StatusCode::OK, Bytes::from_static(b"{}")))
+    Ok(complete_response(StatusCode::OK, Bytes::from_static(b"{}")))
 }
 
 async fn wait_after(state: &GatewayState, known: &KnownJob, error: &StoreError) {
@@ -80,7 +80,7 @@
             state.directory.put(row, version);
             state.directory.note_end(&known.row.id, version, Instant::now());
             stop_job(state, &known.row.id);
-            state.want_heartbeat();
+            state.request_heartbeat();
             Ok(true)
         }
         CommitOutcome::Conflict(_) => Ok(false),
--- a/crates/cuminramp-gateway/src/jobs/leave.rs
+++ b/crates/cuminramp-gateway/src/jobs/leave.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::writer::KeeperOrder;
+use super::writer::WriterCommand;
 use crate::state::{GatewayState, lock};
 
 /// Running items notice that they are stopped within a turn of the runtime.
@@ -26,7 +26,7 @@
     let mut waits = Vec::with_capacity(jobs.len());
     for job in jobs {
         let (done, wait) = oneshot::channel();
-        state.keepers.ask(&job, KeeperOrder::HandOver(done));
+        state.writers.ask(&job, WriterCommand::HandOver(done));
         waits.push(wait);
     }
     let all = futures_util::future::join_all(waits);
--- a/crates/cuminramp-gateway/src/jobs/mod.rs
+++ b/crates/cuminramp-gateway/src/jobs/mod.rs
@@ -23,7 +23,7 @@
 pub(crate) use read::{read_item, read_results};
 pub(crate) use run::{RunningItems, fill_slots, may_run_in, run_items, waiting_pools};
 pub(crate) use takeover::take_jobs_over;
-pub(crate) use writer::JobKeepers;
+pub(crate) use writer::JobWriters;
 
 /// Who asks about a job.
 #[derive(Clone, Debug)]
--- a/crates/cuminramp-gateway/src/jobs/read.rs
+++ b/crates/cuminramp-gateway/src/jobs/read.rs
@@ -14,7 +14,7 @@
 use super::JobCaller;
 use super::directory::KnownJob;
 use super::names::{input_object, input_prefix, job_key, result_key, results_prefix};
-use crate::entry::{AnswerBody, whole_response};
+use crate::entry::{AnswerBody, complete_response};
 use crate::interfaces::{ListedResult, ResultPage};
 use crate::state::{GatewayState, lock};
 
@@ -83,7 +83,7 @@
         vec![]
     };
     let page = ResultPage { total, next: after + results.len() as u32, results };
-    Ok(whole_response(StatusCode::OK, state.calls.write_results(&page)))
+    Ok(complete_response(StatusCode::OK, state.calls.write_results(&page)))
 }
 
 async fn list_results(
@@ -135,7 +135,7 @@
         Some(held) => held.body.clone(),
         None => stored_body(state, &known.row, item).await?,
     };
-    let mut response = whole_response(StatusCode::OK, body);
+    let mut response = complete_response(StatusCode::OK, body);
     let kind = HeaderValue::from_static("application/octet-stream");
     response.headers_mut().insert(CONTENT_TYPE, kind);
     Ok(response)
--- a/crates/cuminramp-gateway/src/jobs/run.rs
+++ b/crates/cuminramp-gateway/src/jobs/run.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::writer::KeeperOrder;
+use super::writer::WriterCommand;
 use crate::interfaces::TargetHead;
 use crate::slots::ask_for_item_slots;
 use crate::state::{GatewayState, lock};
@@ -92,10 +92,10 @@
 
 /// Stops work on a job that is no longer this host's.
 pub(super) fn stop_job(state: &Arc<GatewayState>, job: &str) {
-    lock(&state.jobs).drop_job(job);
+    lock(&state.jobs).remove(job);
     state.running.stop_job(job);
-    state.keepers.remove(job);
-    state.want_heartbeat();
+    state.writers.remove(job);
+    state.request_heartbeat();
 }
 
 /// Asks for slots for items until the host leaves.
@@ -106,17 +106,17 @@
             () = tokio::time::sleep(LOOK_EVERY) => {}
             () = state.drain.cancelled() => return,
         }
-        give_up_old(&state);
+        drop_expired(&state);
         ask_for_item_slots(&state);
         tokio::time::sleep(LOOK_PAUSE).await;
     }
 }
 
-fn give_up_old(state: &Arc<GatewayState>) {
-    let given_up = lock(&state.jobs).give_up_old(Instant::now());
+fn drop_expired(state: &Arc<GatewayState>) {
+    let given_up = lock(&state.jobs).drop_expired(Instant::now());
     for (job, finished) in given_up {
         log::info!(job = &*job, index = finished.index, reason = "too old"; "item-given-up");
-        state.keepers.ask(&job, KeeperOrder::List(finished));
+        state.writers.ask(&job, WriterCommand::List(finished));
     }
 }
 
@@ -246,10 +246,10 @@
         }
     };
     if let Some(finished) = finished {
-        state.keepers.ask(&start.job, KeeperOrder::List(finished));
+        state.writers.ask(&start.job, WriterCommand::List(finished));
     }
     state.items_wanted.notify_one();
-    state.want_heartbeat();
+    state.request_heartbeat();
 }
 
 fn broken(reason: impl Into<String>) -> RunEnd {
@@ -273,7 +273,7 @@
     };
     let headers = match state.calls.item_headers(&start.item, &spec.host, &head) {
         Ok(headers) => headers,
-        Err(fault) => return RunEnd::Failed(ItemFailure::Failed, fault.to_string()),
+        Err(error) => return RunEnd::Failed(ItemFailure::Failed, error.to_string()),
     };
     let Ok(path) = start.item.path.parse::<Uri>() else {
         return RunEnd::Failed(ItemFailure::Failed, "the path can't be used".into());
@@ -396,6 +396,6 @@
         self.noted = Instant::now();
         let ran = self.ran_before + self.began.elapsed();
         let progress = ItemProgress { ran, ..progress.clone() };
-        lock(&self.state.jobs).note_progress(&self.job, self.index, &progress);
+        lock(&self.state.jobs).record_progress(&self.job, self.index, &progress);
     }
 }
--- a/crates/cuminramp-gateway/src/jobs/takeover.rs
+++ b/crates/cuminramp-gateway/src/jobs/takeover.rs
@@ -96,12 +96,12 @@
     let now = Instant::now();
     let peers = lock(&state.peers);
     let is_free = row.holder_address.is_empty();
-    if !is_free && (!peers.is_lost(holder, now) || !peers.hears_most(now)) {
+    if !is_free && (!peers.is_lost(holder, now) || !peers.has_majority(now)) {
         return false;
     }
     let heard = peers.iter().filter(|record| {
         let is_ready = record.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.is_ready);
-        is_ready && peers.is_heard(record, now)
+        is_ready && peers.is_alive(record, now)
     });
     let mut hosts: Vec<Name> = heard.map(|record| record.host.address.clone()).collect();
     hosts.push(state.me.address.clone());
--- a/crates/cuminramp-gateway/src/jobs/writer.rs
+++ b/crates/cuminramp-gateway/src/jobs/writer.rs
@@ -24,7 +24,7 @@
 
 /// What a keeper is asked to do.
 #[derive(Debug)]
-pub(super) enum KeeperOrder {
+pub(super) enum WriterCommand {
     /// List an item.
     List(FinishedItem),
     /// Give the job back, with what is known of its items; answers when that is written.
@@ -33,21 +33,21 @@
 
 /// The keepers of the jobs that this host holds.
 #[derive(Debug, Default)]
-pub(crate) struct JobKeepers {
-    orders: Mutex<SortedMap<Name, mpsc::UnboundedSender<KeeperOrder>>>,
+pub(crate) struct JobWriters {
+    commands: Mutex<SortedMap<Name, mpsc::UnboundedSender<WriterCommand>>>,
 }
 
-impl JobKeepers {
+impl JobWriters {
     /// Asks the keeper of a job; a job that is no longer held has none, and then nothing is owed.
-    pub(super) fn ask(&self, job: &str, order: KeeperOrder) {
-        if let Some(orders) = lock(&self.orders).get(job) {
-            let _ = orders.send(order);
+    pub(super) fn ask(&self, job: &str, command: WriterCommand) {
+        if let Some(commands) = lock(&self.commands).get(job) {
+            let _ = commands.send(command);
         }
     }
 
     /// Ends the keeper of a job.
     pub(super) fn remove(&self, job: &str) {
-        lock(&self.orders).remove(job);
+        lock(&self.commands).remove(job);
     }
 }
 
@@ -60,49 +60,49 @@
     finished: &[Name],
     progress: Vec<(Name, ItemProgress)>,
 ) {
-    let (sender, orders) = mpsc::unbounded_channel();
+    let (sender, commands) = mpsc::unbounded_channel();
     let items = spec.items.iter().map(|item| item.id.clone()).collect();
     let mut jobs = lock(&state.jobs);
     if jobs.get(&spec.id).is_some() {
         return;
     }
-    lock(&state.keepers.orders).insert(spec.id.clone(), sender);
-    jobs.hold(spec, finished, progress);
+    lock(&state.writers.commands).insert(spec.id.clone(), sender);
+    jobs.add(spec, finished, progress);
     drop(jobs);
-    let keeper = JobKeeper { state: state.clone(), known, items, orders };
+    let writer = JobWriter { state: state.clone(), known, items, commands };
     let stop = state.stop.clone();
     tokio::spawn(async move {
         tokio::select! {
-            () = keeper.run() => {}
+            () = writer.run() => {}
             () = stop.cancelled() => {}
         }
     });
     state.items_wanted.notify_one();
-    state.want_heartbeat();
+    state.request_heartbeat();
 }
 
-struct JobKeeper {
+struct JobWriter {
     state: Arc<GatewayState>,
     known: KnownJob,
     items: Vec<Name>,
-    orders: mpsc::UnboundedReceiver<KeeperOrder>,
+    commands: mpsc::UnboundedReceiver<WriterCommand>,
 }
 
-impl JobKeeper {
+impl JobWriter {
     async fn run(mut self) {
-        let mut held_back: Option<KeeperOrder> = None;
+        let mut held_back: Option<WriterCommand> = None;
         loop {
-            let order = match held_back.take() {
-                Some(order) => Some(order),
-                None => self.orders.recv().await,
+            let command = match held_back.take() {
+                Some(command) => Some(command),
+                None => self.commands.recv().await,
             };
-            let Some(order) = order else { return };
-            let is_kept = match order {
-                KeeperOrder::List(first) => {
+            let Some(command) = command else { return };
+            let is_kept = match command {
+                WriterCommand::List(first) => {
                     let batch = self.gather(first, &mut held_back);
                     self.list(batch).await
                 }
-                KeeperOrder::HandOver(done) => {
+                WriterCommand::HandOver(done) => {
                     self.hand_over().await;
                     let _ = done.send(());
                     false
@@ -118,18 +118,18 @@
     fn gather(
         &mut self,
         first: FinishedItem,
-        held_back: &mut Option<KeeperOrder>,
+        held_back: &mut Option<WriterCommand>,
     ) -> Vec<FinishedItem> {
         let mut bytes = text_len(&first);
         let mut batch = vec![first];
         while batch.len() < MOST_RESULTS && bytes < MOST_WRITE_BYTES {
-            match self.orders.try_recv() {
-                Ok(KeeperOrder::List(next)) => {
+            match self.commands.try_recv() {
+                Ok(WriterCommand::List(next)) => {
                     bytes += text_len(&next).min(LONGEST_TEXT);
                     batch.push(next);
                 }
-                Ok(order) => {
-                    *held_back = Some(order);
+                Ok(command) => {
+                    *held_back = Some(command);
                     break;
                 }
                 Err(_) => break,
@@ -281,7 +281,7 @@
     /// wait until this one counts as lost, and begin its items anew.
     async fn hand_over(&mut self) {
         let id = self.known.row.id.clone();
-        let Some(held) = lock(&self.state.jobs).drop_job(&id) else { return };
+        let Some(held) = lock(&self.state.jobs).remove(&id) else { return };
         let team = self.known.row.team.clone();
         let mut next = self.known.row.clone();
         next.holder_address = String::new();
@@ -299,7 +299,7 @@
             outcome = outcome.as_str();
             "job-handed-over"
         );
-        self.state.keepers.remove(&id);
+        self.state.writers.remove(&id);
     }
 }
 
--- a/crates/cuminramp-gateway/src/lib.rs
+++ b/crates/cuminramp-gateway/src/lib.rs
@@ -27,6 +27,6 @@
 
 pub use gateway::{Gateway, GatewayError};
 pub use interfaces::{
-    AnswerHead, CallFormat, CallHead, CallerCall, CallerKey, FleetFormat, FleetStore, FormatFault,
+    AnswerHead, CallFormat, CallHead, CallerCall, CallerKey, FleetFormat, FleetStore, FormatError,
     ListedResult, ResultPage, SteeringCall, TargetHead,
 };
--- a/crates/cuminramp-gateway/src/online/serve.rs
+++ b/crates/cuminramp-gateway/src/online/serve.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use cuminramp_core::{Execution, Name, Refusal, ResultCode, hash_parts};
 use cuminramp_fleet::{
-    FleetTarget, OnlineNeed, PlacementDecision, RouteKind, RouteRule, WorkKind, ZoneLimit,
+    FleetTarget, PlacementDecision, PlacementRequest, RouteKind, RouteRule, WorkKind, ZoneLimit,
 };
 use cuminramp_targets::{AttemptFailure, FailureStage, RequestTraits, RetryDecision, decide_retry};
 use http::{Response, request};
@@ -14,7 +14,7 @@
 
 use super::RequestRecord;
 use super::relay::{relay_stream, relay_whole};
-use crate::entry::{AnswerBody, is_again};
+use crate::entry::{AnswerBody, is_retry};
 use crate::interfaces::{CallHead, TargetHead};
 use crate::slots::find_slot;
 use crate::state::{GatewayState, lock};
@@ -108,7 +108,7 @@
     pub(crate) fn note_crash(&self) {
         let crashes = lock(&self.state.crashes).on_crash(self.fingerprint(), Instant::now());
         self.record.note_crash(self.fingerprint(), crashes);
-        self.state.want_heartbeat();
+        self.state.request_heartbeat();
     }
 
     /// It ran to its end.
@@ -141,15 +141,15 @@
     }
 
     async fn place(&mut self) -> PlacementDecision {
-        let need = OnlineNeed {
+        let placement_request = PlacementRequest {
             pool: &self.request.pool,
             objective: self.request.route.objective,
-            is_again: is_again(&self.request.head, &self.request.route) || self.runs > 0,
+            is_retry: is_retry(&self.request.head, &self.request.route) || self.runs > 0,
             tried: &self.tried,
             zones: &self.request.zones,
         };
         let began = Instant::now();
-        let (decision, placed_by) = find_slot(&self.state, &need).await;
+        let (decision, placed_by) = find_slot(&self.state, &placement_request).await;
         self.record.note_place(placed_by, began.elapsed());
         decision
     }
@@ -263,7 +263,7 @@
                 self.record.note_failure(word, detail, "give-up");
                 let refusal = Refusal::not_run(code, word).with_execution(execution);
                 Err(match execution {
-                    Execution::NotRun => refusal.with_retry_after(self.return_after()),
+                    Execution::NotRun => refusal.with_retry_after(self.retry_after()),
                     _ => refusal,
                 })
             }
@@ -271,7 +271,7 @@
     }
 
     /// When a refused caller should come back: soon, since another host or target may do at once.
-    fn return_after(&self) -> Duration {
+    fn retry_after(&self) -> Duration {
         /// Long enough for the board of every host to know what failed here.
         const SHORTLY: Duration = Duration::from_millis(150);
         SHORTLY
--- a/crates/cuminramp-gateway/src/peers/calls.rs
+++ b/crates/cuminramp-gateway/src/peers/calls.rs
@@ -16,7 +16,7 @@
 use tokio_util::codec::LengthDelimitedCodec;
 
 use crate::state::{GatewayState, lock};
-use crate::sync::{answer_news, answer_store_call};
+use crate::sync::{answer_store_call, answer_updates};
 
 /// The largest message; declarations of thousands of routes take a few megabytes, an object eight.
 const MOST_FRAME_BYTES: usize = 32 << 20;
@@ -34,7 +34,7 @@
 
 impl FleetService for FleetAnswers {
     async fn news(self, _: Context, request: Encoded<NewsRequest>) -> Encoded<NewsReply> {
-        Encoded(answer_news(&self.state, &request.0))
+        Encoded(answer_updates(&self.state, &request.0))
     }
 
     async fn call_store(self, _: Context, call: Encoded<StoreCall>) -> Encoded<StoreReply> {
--- a/crates/cuminramp-gateway/src/peers/clock.rs
+++ b/crates/cuminramp-gateway/src/peers/clock.rs
@@ -37,14 +37,14 @@
         log::warn!(away_ms = away.as_millis() as u64; "paused");
         let now = Instant::now();
         let mut peers = lock(&state.peers);
-        peers.doubt_all();
-        let (heard, all) = peers.heard_of_all(now);
+        peers.reset_liveness();
+        let (heard, all) = peers.count_alive(now);
         drop(peers);
         let mut quota = lock(&state.quota);
-        quota.begin_anew(now);
-        quota.set_share(heard, all);
+        quota.reset(now);
+        quota.set_alive_share(heard, all);
         drop(quota);
-        state.slots.begin_anew(&state);
-        state.want_heartbeat();
+        state.slots.reset(&state);
+        state.request_heartbeat();
     }
 }
--- a/crates/cuminramp-gateway/src/peers/heartbeats.rs
+++ b/crates/cuminramp-gateway/src/peers/heartbeats.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use cuminramp_core::{HostId, Name};
-use cuminramp_fleet::{HeartbeatTimes, HostHeartbeat, HostMessage, KnownHost, SuspectCount};
+use cuminramp_fleet::{CrashCount, HeartbeatTimer, HostHeartbeat, HostMessage, KnownHost};
 use tokio::time::Instant;
 
 use super::socket::{HostSocket, send_to_host};
 use crate::jobs::notice_end;
 use crate::state::{GatewayState, lock};
-use crate::sync::{ask_for_news, take_drains};
+use crate::sync::{request_updates, take_drains};
 
 /// Hosts that a whole heartbeat names.
 const KNOWN_IN_HEARTBEAT: usize = 2;
@@ -41,7 +41,7 @@
     /// The receiver may not know this host.
     Greeting {
         /// Whether this host knows hardly any others.
-        wants_known: bool,
+        wants_hosts: bool,
     },
     /// The receiver greeted this host.
     Answer {
@@ -53,19 +53,19 @@
 fn make_heartbeat(state: &GatewayState, kind: HeartbeatKind) -> HostHeartbeat {
     let now = Instant::now();
     let sequence = state.heartbeat_sequence.fetch_add(1, Ordering::Relaxed);
-    let is_usage_whole = kind != HeartbeatKind::Usual || sequence.is_multiple_of(WHOLE_EVERY);
-    let known = match kind {
+    let is_usage_full = kind != HeartbeatKind::Usual || sequence.is_multiple_of(WHOLE_EVERY);
+    let known_hosts = match kind {
         HeartbeatKind::Answer { names_hosts: true } => some_known(state, sequence, KNOWN_IN_ANSWER),
-        HeartbeatKind::Usual if is_usage_whole => some_known(state, sequence, KNOWN_IN_HEARTBEAT),
+        HeartbeatKind::Usual if is_usage_full => some_known(state, sequence, KNOWN_IN_HEARTBEAT),
         _ => vec![],
     };
     // Each lock is taken and released in a statement of its own: two of one lock in one expression
     // would stop the host for good.
     let declarations = lock(&state.declarations).current().map_or(0, |held| held.version());
-    let targets = lock(&state.news).targets_version();
-    let drains = lock(&state.drains).tell(is_usage_whole, now);
+    let targets = lock(&state.updates).targets_version();
+    let drains = lock(&state.drains).advertised(is_usage_full, now);
     let quota = lock(&state.quota);
-    let (usage, is_settled) = (quota.usage(is_usage_whole, now), quota.is_settled(now));
+    let (usage, is_settled) = (quota.usage(is_usage_full, now), quota.is_settled(now));
     drop(quota);
     let suspects = lock(&state.crashes).seen_lately(TELL_SUSPECTS_FOR, MOST_SUSPECTS, now);
     HostHeartbeat {
@@ -74,19 +74,19 @@
         is_ready: state.is_ready(),
         has_left: state.has_left.load(Ordering::Relaxed),
         wants_answer: matches!(kind, HeartbeatKind::Greeting { .. }),
-        wants_known: kind == HeartbeatKind::Greeting { wants_known: true },
+        wants_hosts: kind == HeartbeatKind::Greeting { wants_hosts: true },
         reaches_store: state.relay.is_reached(),
         declarations,
         targets,
         usage,
-        is_usage_whole,
+        is_usage_full,
         is_settled,
-        known,
+        known_hosts,
         ended: state.directory.ended_lately(TELL_ENDS_FOR, now),
         drains,
-        suspects: suspects
+        crash_counts: suspects
             .into_iter()
-            .map(|(fingerprint, crashes)| SuspectCount { fingerprint, crashes })
+            .map(|(fingerprint, crashes)| CrashCount { fingerprint, crashes })
             .collect(),
     }
 }
@@ -110,25 +110,25 @@
 
 /// Greets a host that may not know this one.
 pub(crate) async fn greet_host(state: &Arc<GatewayState>, address: &Name) {
-    let wants_known = !state.has_read_hosts.load(Ordering::Relaxed);
-    let heartbeat = make_heartbeat(state, HeartbeatKind::Greeting { wants_known });
+    let wants_hosts = !state.has_read_hosts.load(Ordering::Relaxed);
+    let heartbeat = make_heartbeat(state, HeartbeatKind::Greeting { wants_hosts });
     send_to_host(state, HostMessage::Heartbeat(heartbeat), address).await;
 }
 
 /// Sends heartbeats until the gateway stops: soon after changes, and at intervals.
 pub(crate) async fn send_heartbeats(state: Arc<GatewayState>) {
     let Some(socket) = state.socket.get() else { return };
-    let mut times = HeartbeatTimes::new(Instant::now());
+    let mut times = HeartbeatTimer::new(Instant::now());
     loop {
-        let rhythm = lock(&state.peers).rhythm();
+        let schedule = lock(&state.peers).schedule();
         tokio::select! {
             () = tokio::time::sleep_until(times.next()) => {}
             () = state.heartbeat_wanted.notified() => {
-                times.hasten(&rhythm, Instant::now());
+                times.bring_forward(&schedule, Instant::now());
                 continue;
             }
         }
-        let (is_near_due, is_far_due) = times.take_due(&rhythm, Instant::now());
+        let (is_near_due, is_far_due) = times.take_due(&schedule, Instant::now());
         let mut receivers = Vec::new();
         if is_near_due {
             receivers.extend(addresses(&state, true));
@@ -157,8 +157,8 @@
 
 fn renew_share(state: &GatewayState) {
     let now = Instant::now();
-    let (heard, all) = lock(&state.peers).heard_of_all(now);
-    lock(&state.quota).set_share(heard, all);
+    let (heard, all) = lock(&state.peers).count_alive(now);
+    lock(&state.quota).set_alive_share(heard, all);
 }
 
 /// Takes a heartbeat that came from an address.
@@ -168,16 +168,16 @@
     from: Name,
 ) {
     let now = Instant::now();
-    let (wants_answer, names_hosts) = (heartbeat.wants_answer, heartbeat.wants_known);
+    let (wants_answer, names_hosts) = (heartbeat.wants_answer, heartbeat.wants_hosts);
     let address = heartbeat.host.address.clone();
-    let known = heartbeat.known.clone();
+    let known = heartbeat.known_hosts.clone();
     let is_taken = merge_heartbeat(state, heartbeat, now);
     if is_taken && wants_answer {
         let answer = make_heartbeat(state, HeartbeatKind::Answer { names_hosts });
         send_to_host(state, HostMessage::Heartbeat(answer), &from).await;
     }
     for host in known {
-        let is_new = lock(&state.peers).learn(&host, now);
+        let is_new = lock(&state.peers).discover(&host, now);
         if is_new {
             log::info!(peer = &*host.address, incarnation = host.incarnation, source = &*address; "host-known");
             greet_host(state, &host.address).await;
@@ -191,8 +191,8 @@
         HostId { address: heartbeat.host.address.clone(), incarnation: heartbeat.host.incarnation };
     let told = heartbeat.clone();
     let mut peers = lock(&state.peers);
-    let before = peers.get(&id.address).map(|record| peers.is_heard(record, now));
-    if !peers.hear(heartbeat, now) {
+    let before = peers.get(&id.address).map(|record| peers.is_alive(record, now));
+    if !peers.receive_heartbeat(heartbeat, now) {
         return false;
     }
     drop(peers);
@@ -200,7 +200,7 @@
     if was_silent {
         log::info!(peer = &*id.address, incarnation = id.incarnation; "host-heard");
         renew_share(state);
-        if !told.is_usage_whole {
+        if !told.is_usage_full {
             // Its counts have a starting point only with its next whole heartbeat.
             let (state, address) = (state.clone(), id.address.clone());
             tokio::spawn(async move { greet_host(&state, &address).await });
@@ -208,23 +208,23 @@
     }
     // Before news of declarations are asked for: once those are in force, requests are sent.
     take_drains(state, told.drains.clone(), &id.address);
-    lock(&state.quota).hear(&told, was_silent, now);
+    lock(&state.quota).receive_heartbeat(&told, was_silent, now);
     for ended in &told.ended {
         notice_end(state, ended, &id);
     }
-    for suspect in &told.suspects {
+    for suspect in &told.crash_counts {
         lock(&state.crashes).merge(suspect.fingerprint, suspect.crashes, now);
     }
     let own_declarations = lock(&state.declarations).current().map_or(0, |held| held.version());
-    let own_targets = lock(&state.news).targets_version();
+    let own_targets = lock(&state.updates).targets_version();
     if told.declarations > own_declarations || told.targets > own_targets {
-        let is_first = state.asks_for_news.try_acquire();
+        let is_first = state.asks_for_updates.try_acquire();
         if let Ok(permit) = is_first {
             permit.forget();
             let state = state.clone();
             tokio::spawn(async move {
-                ask_for_news(state.clone(), id.address).await;
-                state.asks_for_news.add_permits(1);
+                request_updates(state.clone(), id.address).await;
+                state.asks_for_updates.add_permits(1);
             });
         }
     }
@@ -237,7 +237,7 @@
     let peers = lock(&state.peers);
     let unheard: Vec<HostId> = peers
         .iter()
-        .filter(|record| record.heartbeat.is_some() && !peers.is_heard(record, now))
+        .filter(|record| record.heartbeat.is_some() && !peers.is_alive(record, now))
         .map(|record| record.id())
         .collect();
     drop(peers);
@@ -248,7 +248,7 @@
             if !has_left {
                 log::warn!(peer = &*id.address, incarnation = id.incarnation; "host-silent");
             }
-            lock(&state.quota).note_silent(id);
+            lock(&state.quota).mark_silent(id);
         }
     }
     *silent = unheard;
--- a/crates/cuminramp-gateway/src/peers/socket.rs
+++ b/crates/cuminramp-gateway/src/peers/socket.rs
@@ -8,7 +8,7 @@
 use tokio::net::UdpSocket;
 
 use super::heartbeats::take_heartbeat;
-use crate::slots::{take_answer, take_ask, take_claim, take_order, take_report};
+use crate::slots::{take_command, take_owner_failure, take_report, take_request, take_response};
 use crate::state::GatewayState;
 
 /// The largest datagram that is taken.
@@ -78,10 +78,10 @@
     match message {
         HostMessage::Heartbeat(heartbeat) => take_heartbeat(state, heartbeat, address).await,
         HostMessage::Report(report) => take_report(state, &address, report).await,
-        HostMessage::Ask(ask) => take_ask(state, &address, ask).await,
-        HostMessage::Answer(answer) => take_answer(state, &address, answer),
-        HostMessage::Order(order) => take_order(state, &address, order),
-        HostMessage::Claim(claim) => take_claim(state, &address, &claim),
+        HostMessage::Request(slot_request) => take_request(state, &address, slot_request).await,
+        HostMessage::Response(answer) => take_response(state, &address, answer),
+        HostMessage::Command(order) => take_command(state, &address, order),
+        HostMessage::OwnerFailure(claim) => take_owner_failure(state, &address, &claim),
     }
 }
 
--- a/crates/cuminramp-gateway/src/peers/socket/tests.rs
+++ b/crates/cuminramp-gateway/src/peers/socket/tests.rs
@@ -1,7 +1,7 @@
 use cuminramp_core::Name;
 use cuminramp_fleet::{
-    HostHeartbeat, HostMessage, ItemDemand, KnownHost, OwnerClaim, SlotAnswer, SlotAsk, SlotOrder,
-    SlotOutcome, SlotReport, TargetLoad, TeamUsage, ToldLoad,
+    HostHeartbeat, HostMessage, ItemDemand, KnownHost, OwnerFailure, ReportedLoad, SlotCommand,
+    SlotOutcome, SlotReport, SlotRequest, SlotResponse, TargetLoad, TeamUsage,
 };
 use proptest::prelude::*;
 
@@ -17,15 +17,15 @@
         is_ready: true,
         has_left: false,
         wants_answer: false,
-        wants_known: false,
+        wants_hosts: false,
         reaches_store: true,
         declarations: 3,
         targets: 4,
         usage: vec![TeamUsage { team: 1, admitted: 2, level: -3 }],
-        is_usage_whole: true,
+        is_usage_full: true,
         is_settled: true,
-        known: vec![],
-        suspects: vec![],
+        known_hosts: vec![],
+        crash_counts: vec![],
         ended: vec![],
         drains: vec![],
     }
@@ -36,9 +36,9 @@
         incarnation: 7,
         sequence: 9,
         group: 1,
-        seen_grant: 3,
+        acknowledged_grant: 3,
         loads: vec![TargetLoad { target: 1, online: 2, batch: 3 }],
-        told: vec![ToldLoad { target: 1, busy: 4 }],
+        reported_loads: vec![ReportedLoad { target: 1, busy: 4 }],
         outcomes: vec![],
         avoided: vec![5],
         demand: vec![ItemDemand { is_late: false, due_in_ms: 9_000, items: 5 }],
@@ -47,15 +47,16 @@
 
 fn messages() -> Vec<HostMessage> {
     let outcome = SlotOutcome::Granted { target: 1, grant: 2 };
-    let silent_address = Name::from("10.1.0.22:7360");
-    let ask = SlotAsk { incarnation: 7, ask: 1, group: 1, avoided: vec![1], may_queue: true };
+    let failed_address = Name::from("10.1.0.22:7360");
+    let slot_request =
+        SlotRequest { incarnation: 7, request: 1, group: 1, avoided: vec![1], may_queue: true };
     vec![
         HostMessage::Heartbeat(heartbeat()),
         HostMessage::Report(report()),
-        HostMessage::Ask(ask),
-        HostMessage::Answer(SlotAnswer { ask: 1, outcome }),
-        HostMessage::Order(SlotOrder::Keep { target: 1, items: 2 }),
-        HostMessage::Claim(OwnerClaim { group: 1, silent_address, silent_incarnation: 4 }),
+        HostMessage::Request(slot_request),
+        HostMessage::Response(SlotResponse { request: 1, outcome }),
+        HostMessage::Command(SlotCommand::Limit { target: 1, items: 2 }),
+        HostMessage::OwnerFailure(OwnerFailure { group: 1, failed_address, failed_incarnation: 4 }),
     ]
 }
 
