--- a/crates/cuminramp-gateway/src/slots/ask.rs
+++ b/crates/cuminramp-gateway/src/slots/ask.rs
@@ -6,14 +6,14 @@
 
 use cuminramp_core::{AvailabilityZone, HostId, Name};
 use cuminramp_fleet::{
-    HostMessage, OnlineNeed, OwnerClaim, PlacementDecision, SearchNeed, SearchStep, SlotAnswer,
-    SlotAsk, SlotGroup, SlotOutcome, SlotSearch, name_hash,
+    HostMessage, OwnerFailure, PlacementDecision, PlacementRequest, SearchLimits, SearchStep,
+    SlotGroup, SlotOutcome, SlotRequest, SlotResponse, SlotSearch, name_hash,
 };
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout};
 
 use super::cold::lone_share;
-use super::owner::answer_ask;
+use super::owner::answer_request;
 use super::owner_of;
 use crate::peers::send_to_host;
 use crate::state::{GatewayState, lock};
@@ -54,43 +54,43 @@
 /// Finds a slot for a request, and says who chose it.
 pub(crate) async fn find_slot(
     state: &Arc<GatewayState>,
-    need: &OnlineNeed<'_>,
+    request: &PlacementRequest<'_>,
 ) -> (PlacementDecision, PlacedBy) {
-    let mut groups = lock(&state.board).groups(need.pool);
-    groups.retain(|group| need.zones.allows(&group.zone));
+    let mut groups = lock(&state.placement).groups(request.pool);
+    groups.retain(|group| request.zones.allows(&group.zone));
     let lost = lost_zones(state, &groups);
-    if lost.len() == groups.len() && !groups.is_empty() && !hears_most(state) {
+    if lost.len() == groups.len() && !groups.is_empty() && !has_majority(state) {
         return (PlacementDecision::Full(ELSEWHERE_PAUSE), PlacedBy::Guess);
     }
-    let mut failed = lock(&state.board).zones_of(need.tried);
+    let mut failed = lock(&state.placement).zones_of(request.tried);
     // Asked last, like zones in which two sends failed.
     failed.extend(lost.iter().chain(&lost).cloned());
     let mut search = {
         let mut random = lock(&state.random);
         SlotSearch::new(groups, &state.me.zone, &mut **random).after_failures(&failed)
     };
-    let search_need = SearchNeed {
-        longest_wait: need.objective.mul_f64(lock(&state.board).wait_share()),
-        is_again: need.is_again,
+    let search_limits = SearchLimits {
+        max_wait: request.objective.mul_f64(lock(&state.placement).wait_share()),
+        is_retry: request.is_retry,
     };
     loop {
-        let step = search.next(search_need, &mut **lock(&state.random));
+        let step = search.next(search_limits, &mut **lock(&state.random));
         let (group, may_queue) = match step {
             SearchStep::Ask { group, may_queue } => (group, may_queue),
             SearchStep::Refuse(after) => return (PlacementDecision::Full(after), PlacedBy::Owner),
-            SearchStep::Nowhere => return (guess(state, need), PlacedBy::Guess),
+            SearchStep::Nowhere => return (guess(state, request), PlacedBy::Guess),
         };
-        let Some((outcome, placed_by)) = ask_group(state, &group, may_queue, need.tried).await
+        let Some((outcome, placed_by)) = ask_group(state, &group, may_queue, request.tried).await
         else {
-            return (guess(state, need), PlacedBy::Guess);
+            return (guess(state, request), PlacedBy::Guess);
         };
         if let SlotOutcome::Granted { target, .. } = outcome {
             // A target that this host does not know, or knows to get nothing new, is none to it.
-            if let Some(target) = lock(&state.board).granted(target).cloned() {
+            if let Some(target) = lock(&state.placement).granted(target).cloned() {
                 return (PlacementDecision::Send(target), placed_by);
             }
         }
-        search.hear(outcome);
+        search.receive(outcome);
     }
 }
 
@@ -99,25 +99,26 @@
 fn lost_zones(state: &GatewayState, groups: &[SlotGroup]) -> Vec<AvailabilityZone> {
     let now = Instant::now();
     let peers = lock(&state.peers);
-    let board = lock(&state.board);
-    let is_lost = |zone: &str| board.is_unreached(zone, now) && peers.is_zone_silent(zone, now);
+    let placement = lock(&state.placement);
+    let is_lost =
+        |zone: &str| placement.is_unreachable(zone, now) && peers.is_zone_silent(zone, now);
     let lost = groups.iter().filter(|group| is_lost(&group.zone));
     lost.map(|group| group.zone.clone()).collect()
 }
 
-fn hears_most(state: &GatewayState) -> bool {
-    lock(&state.peers).hears_most(Instant::now())
+fn has_majority(state: &GatewayState) -> bool {
+    lock(&state.peers).has_majority(Instant::now())
 }
 
 /// Chooses by what this host has in flight itself.
-fn guess(state: &GatewayState, need: &OnlineNeed<'_>) -> PlacementDecision {
+fn guess(state: &GatewayState, request: &PlacementRequest<'_>) -> PlacementDecision {
     let now = Instant::now();
-    let share = lone_share(state, need.pool, None, now);
-    let mut board = lock(&state.board);
+    let share = lone_share(state, request.pool, None, now);
+    let mut placement = lock(&state.placement);
     let mut random = lock(&state.random);
-    let decision = board.place(need, &share, &mut **random, now);
+    let decision = placement.place(request, &share, &mut **random, now);
     if let PlacementDecision::Send(target) = &decision {
-        board.note_sends(name_hash(&target.id), 1, now);
+        placement.record_sends(name_hash(&target.id), 1, now);
     }
     decision
 }
@@ -129,31 +130,36 @@
     may_queue: bool,
     tried: &[Name],
 ) -> Option<(SlotOutcome, PlacedBy)> {
-    let ask = make_ask(state, group, may_queue, tried);
+    let request = make_request(state, group, may_queue, tried);
     let me = state.id();
     for _ in 0..MOST_OWNERS {
         let owner = owner_of(state, group)?;
         if owner == me {
-            let answer = answer_ask(state, &me, group, &ask).await;
-            return Some((answer.outcome, PlacedBy::Itself));
+            let response = answer_request(state, &me, group, &request).await;
+            return Some((response.outcome, PlacedBy::Itself));
         }
-        match ask_owner(state, &owner, &ask).await {
-            AskEnd::Answered(outcome) => return Some((outcome, PlacedBy::Owner)),
-            AskEnd::Silent => accuse(state, group, &owner).await,
-            AskEnd::Late => return None,
+        match ask_owner(state, &owner, &request).await {
+            RequestEnd::Answered(outcome) => return Some((outcome, PlacedBy::Owner)),
+            RequestEnd::Silent => accuse(state, group, &owner).await,
+            RequestEnd::Late => return None,
         }
     }
     None
 }
 
-fn make_ask(state: &GatewayState, group: &SlotGroup, may_queue: bool, tried: &[Name]) -> SlotAsk {
-    let board = lock(&state.board);
-    let mut avoided = board.avoided(group, Instant::now());
-    avoided.extend(board.hashes_of(tried));
-    drop(board);
-    SlotAsk {
+fn make_request(
+    state: &GatewayState,
+    group: &SlotGroup,
+    may_queue: bool,
+    tried: &[Name],
+) -> SlotRequest {
+    let placement = lock(&state.placement);
+    let mut avoided = placement.avoided(group, Instant::now());
+    avoided.extend(placement.hashes_of(tried));
+    drop(placement);
+    SlotRequest {
         incarnation: state.me.incarnation,
-        ask: state.slots.next_ask.fetch_add(1, Ordering::Relaxed),
+        request: state.slots.next_request.fetch_add(1, Ordering::Relaxed),
         group: group.hash(),
         avoided,
         may_queue,
@@ -161,7 +167,7 @@
 }
 
 /// How a question ended.
-enum AskEnd {
+enum RequestEnd {
     Answered(SlotOutcome),
     /// The owner did not answer.
     Silent,
@@ -169,27 +175,27 @@
     Late,
 }
 
-async fn ask_owner(state: &GatewayState, owner: &HostId, ask: &SlotAsk) -> AskEnd {
+async fn ask_owner(state: &GatewayState, owner: &HostId, request: &SlotRequest) -> RequestEnd {
     let (sender, mut receiver) = oneshot::channel();
-    lock(&state.slots.waiting).insert(ask.ask, sender);
-    let mut end = AskEnd::Silent;
+    lock(&state.slots.waiting).insert(request.request, sender);
+    let mut end = RequestEnd::Silent;
     for _ in 0..MOST_TRIES {
         let began = Instant::now();
-        send_to_host(state, HostMessage::Ask(ask.clone()), &owner.address).await;
+        send_to_host(state, HostMessage::Request(request.clone()), &owner.address).await;
         match timeout(ANSWER_LIMIT, &mut receiver).await {
-            Ok(Ok(answer)) => {
-                end = AskEnd::Answered(take_outcome(state, owner, answer.outcome));
+            Ok(Ok(response)) => {
+                end = RequestEnd::Answered(take_outcome(state, owner, response.outcome));
                 break;
             }
             Ok(Err(_)) => break,
             Err(_) if began.elapsed() > ANSWER_LIMIT * 2 => {
-                end = AskEnd::Late;
+                end = RequestEnd::Late;
                 break;
             }
             Err(_) => {}
         }
     }
-    lock(&state.slots.waiting).remove(&ask.ask);
+    lock(&state.slots.waiting).remove(&request.request);
     end
 }
 
@@ -205,7 +211,7 @@
 
 /// Passes a silent owner over, and tells the hosts of the zone: they report to the next one at once.
 async fn accuse(state: &GatewayState, group: &SlotGroup, owner: &HostId) {
-    let is_new = lock(&state.slots.owners).pass_over(owner, Instant::now());
+    let is_new = lock(&state.slots.owners).exclude(owner, Instant::now());
     if !is_new {
         return;
     }
@@ -214,11 +220,11 @@
         zone = &*group.zone;
         "owner-silent"
     );
-    state.slots.hasten_all();
-    let claim = OwnerClaim {
+    state.slots.bring_all_forward();
+    let failure = OwnerFailure {
         group: group.hash(),
-        silent_address: owner.address.clone(),
-        silent_incarnation: owner.incarnation,
+        failed_address: owner.address.clone(),
+        failed_incarnation: owner.incarnation,
     };
     let receivers: Vec<Name> = {
         let peers = lock(&state.peers);
@@ -227,19 +233,19 @@
         of_zone.map(|(id, _)| id.address).collect()
     };
     if let Some(socket) = state.socket.get() {
-        socket.send(&HostMessage::Claim(claim), &receivers).await;
+        socket.send(&HostMessage::OwnerFailure(failure), &receivers).await;
     }
 }
 
 /// Takes the answer of an owner.
-pub(crate) fn take_answer(state: &GatewayState, from: &Name, answer: SlotAnswer) {
-    let waiting = lock(&state.slots.waiting).remove(&answer.ask);
+pub(crate) fn take_response(state: &GatewayState, from: &Name, response: SlotResponse) {
+    let waiting = lock(&state.slots.waiting).remove(&response.request);
     let unused = match waiting {
-        Some(sender) => sender.send(answer).err(),
-        None => Some(answer),
+        Some(sender) => sender.send(response).err(),
+        None => Some(response),
     };
     // A slot that no request waits for any more goes back with the next report, which does not name it.
-    if let Some(SlotOutcome::Granted { grant, .. }) = unused.map(|answer| answer.outcome) {
+    if let Some(SlotOutcome::Granted { grant, .. }) = unused.map(|response| response.outcome) {
         state.slots.take_grant(from, grant);
     }
 }
--- a/crates/cuminramp-gateway/src/slots/cold.rs
+++ b/crates/cuminramp-gateway/src/slots/cold.rs
@@ -12,12 +12,13 @@
 /// Hosts that are cut off from each other all believe that they own the group. Only one part of the fleet
 /// can hear most hosts of the zone, so only its owner has the owner's share.
 pub(super) fn group_share(state: &GatewayState, group: &SlotGroup, now: Instant) -> ColdShare {
-    if lock(&state.board).cold_targets(&group.pool, Some(group), now).is_empty() {
+    if lock(&state.placement).cold_targets(&group.pool, Some(group), now).is_empty() {
         return ColdShare::Owner;
     }
     let is_owner = owner_of(state, group) == Some(state.id());
-    let hears_most = lock(&state.peers).hears_most_of(&group.zone, now);
-    if is_owner && hears_most && lock(&state.slots.ledger).may_warm(group.hash(), now) {
+    let has_majority = lock(&state.peers).has_majority_in(&group.zone, now);
+    if is_owner && has_majority && lock(&state.slots.ledger).may_use_cold_targets(group.hash(), now)
+    {
         return ColdShare::Owner;
     }
     lone_share(state, &group.pool, Some(group), now)
@@ -31,13 +32,13 @@
     group: Option<&SlotGroup>,
     now: Instant,
 ) -> ColdShare {
-    let board = lock(&state.board);
-    let cold: Vec<(Name, u32, usize)> = board
+    let placement = lock(&state.placement);
+    let cold: Vec<(Name, u32, usize)> = placement
         .cold_targets(pool, group, now)
         .into_iter()
-        .filter_map(|(hash, hosts)| Some((board.by_hash(hash)?.id.clone(), hash, hosts)))
+        .filter_map(|(hash, hosts)| Some((placement.by_hash(hash)?.id.clone(), hash, hosts)))
         .collect();
-    drop(board);
+    drop(placement);
     let peers = lock(&state.peers);
     let mine = cold.into_iter().filter(|(id, _, hosts)| peers.rank(id) < *hosts);
     ColdShare::Alone(mine.map(|(_, hash, _)| hash).collect())
--- a/crates/cuminramp-gateway/src/slots/mod.rs
+++ b/crates/cuminramp-gateway/src/slots/mod.rs
@@ -10,7 +10,7 @@
 
 use cuminramp_core::{HostId, Name, SortedMap};
 use cuminramp_fleet::{
-    GrantNumbers, ItemDemand, OwnerBook, ReportTimes, SlotAnswer, SlotGroup, SlotLedger,
+    GrantSequence, ItemDemand, OwnerTable, ReportTimer, SlotGroup, SlotLedger, SlotResponse,
 };
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
@@ -18,21 +18,21 @@
 use crate::jobs::may_run_in;
 use crate::state::{GatewayState, lock};
 
-pub(crate) use ask::{PlacedBy, find_slot, take_answer};
-pub(crate) use owner::{take_ask, take_claim, take_report, tend_slots};
-pub(crate) use report::{ask_for_item_slots, send_reports, take_order};
+pub(crate) use ask::{PlacedBy, find_slot, take_response};
+pub(crate) use owner::{take_owner_failure, take_report, take_request, tend_slots};
+pub(crate) use report::{ask_for_item_slots, send_reports, take_command};
 
 /// What this host knows of slots: those that it owns, and those that it uses.
 pub(crate) struct SlotState {
     ledger: Mutex<SlotLedger>,
-    owners: Mutex<OwnerBook>,
-    reports: Mutex<ReportTimes>,
+    owners: Mutex<OwnerTable>,
+    reports: Mutex<ReportTimer>,
     report_wanted: Notify,
     report_sequence: AtomicU64,
     /// By address of the owner.
-    grants: Mutex<SortedMap<Name, GrantNumbers>>,
-    next_ask: AtomicU64,
-    waiting: Mutex<SortedMap<u64, oneshot::Sender<SlotAnswer>>>,
+    grants: Mutex<SortedMap<Name, GrantSequence>>,
+    next_request: AtomicU64,
+    waiting: Mutex<SortedMap<u64, oneshot::Sender<SlotResponse>>>,
 }
 
 impl SlotState {
@@ -45,46 +45,46 @@
             report_wanted: Notify::new(),
             report_sequence: AtomicU64::new(1),
             grants: Default::default(),
-            next_ask: AtomicU64::new(1),
+            next_request: AtomicU64::new(1),
             waiting: Default::default(),
         }
     }
 
     /// Forgets what it owned, as after a pause of this host.
-    pub(crate) fn begin_anew(&self, state: &GatewayState) {
-        let mut board = lock(&state.board);
-        lock(&self.ledger).begin_anew(&mut board);
-        drop(board);
-        self.hasten_all();
+    pub(crate) fn reset(&self, state: &GatewayState) {
+        let mut placement = lock(&state.placement);
+        lock(&self.ledger).reset(&mut placement);
+        drop(placement);
+        self.bring_all_forward();
     }
 
     /// A slot of a group came free, or items wait for one.
-    pub(crate) fn hasten(&self, group: &SlotGroup) {
-        lock(&self.reports).hasten(group, Instant::now());
+    pub(crate) fn bring_forward(&self, group: &SlotGroup) {
+        lock(&self.reports).bring_forward(group, Instant::now());
         self.report_wanted.notify_one();
     }
 
     /// A slot was taken that its owner handed out.
-    pub(crate) fn note(&self, group: &SlotGroup) {
-        lock(&self.reports).note(group, Instant::now());
+    pub(crate) fn schedule(&self, group: &SlotGroup) {
+        lock(&self.reports).schedule(group, Instant::now());
         self.report_wanted.notify_one();
     }
 
-    fn hasten_all(&self) {
-        lock(&self.reports).hasten_all(Instant::now());
+    fn bring_all_forward(&self) {
+        lock(&self.reports).bring_all_forward(Instant::now());
         self.report_wanted.notify_one();
     }
 
     /// Takes a grant; `false` where a report has shown its owner already that it came to nothing.
     fn take_grant(&self, owner: &Name, grant: u64) -> bool {
         let mut grants = lock(&self.grants);
-        grants.get_or_insert_with(owner.clone(), GrantNumbers::default).take(grant)
+        grants.get_or_insert_with(owner.clone(), GrantSequence::default).accept(grant)
     }
 
     /// The last grant of an owner, as a report tells it.
     fn tell_grants(&self, owner: &Name) -> u64 {
         let mut grants = lock(&self.grants);
-        grants.get_or_insert_with(owner.clone(), GrantNumbers::default).tell()
+        grants.get_or_insert_with(owner.clone(), GrantSequence::default).acknowledge()
     }
 }
 
--- a/crates/cuminramp-gateway/src/slots/owner.rs
+++ b/crates/cuminramp-gateway/src/slots/owner.rs
@@ -5,8 +5,8 @@
 
 use cuminramp_core::{HostId, Name};
 use cuminramp_fleet::{
-    GroupShare, HostMessage, ItemGrant, ItemLimit, OwnerClaim, SlotAnswer, SlotAsk, SlotGroup,
-    SlotOrder, SlotReport,
+    GroupShare, HostMessage, ItemGrant, ItemLimit, OwnerFailure, SlotCommand, SlotGroup,
+    SlotReport, SlotRequest, SlotResponse,
 };
 use tokio::time::Instant;
 
@@ -22,44 +22,45 @@
 const CLAIM_EVERY: u32 = 10;
 
 /// Answers a question of this host or another.
-pub(super) async fn answer_ask(
+pub(super) async fn answer_request(
     state: &Arc<GatewayState>,
     host: &HostId,
     group: &SlotGroup,
-    ask: &SlotAsk,
-) -> SlotAnswer {
+    request: &SlotRequest,
+) -> SlotResponse {
     let now = Instant::now();
     let share = group_share(state, group, now);
-    let answer = {
-        let mut board = lock(&state.board);
+    let response = {
+        let mut placement = lock(&state.placement);
         let mut ledger = lock(&state.slots.ledger);
         let mut random = lock(&state.random);
         let owned = GroupShare { group, share: &share };
-        ledger.answer(&mut board, host, owned, ask, &mut **random, now)
+        ledger.answer(&mut placement, host, owned, request, &mut **random, now)
     };
     if *host != state.id() {
-        send_to_host(state, HostMessage::Answer(answer), &host.address).await;
+        send_to_host(state, HostMessage::Response(response), &host.address).await;
     }
     limit_items(state, group).await;
-    answer
+    response
 }
 
 /// Takes a question of another host.
-pub(crate) async fn take_ask(state: &Arc<GatewayState>, from: &Name, ask: SlotAsk) {
-    let host = HostId { address: from.clone(), incarnation: ask.incarnation };
-    let group = lock(&state.board).group_of(ask.group).cloned();
+pub(crate) async fn take_request(state: &Arc<GatewayState>, from: &Name, request: SlotRequest) {
+    let host = HostId { address: from.clone(), incarnation: request.incarnation };
+    let group = lock(&state.placement).group_of(request.group).cloned();
     // The targets of the group are not known here yet: the caller finds another owner.
     let Some(group) = group else { return };
-    answer_ask(state, &host, &group, &ask).await;
+    answer_request(state, &host, &group, &request).await;
 }
 
 /// Takes what another host has in flight.
 pub(crate) async fn take_report(state: &Arc<GatewayState>, from: &Name, report: SlotReport) {
     let host = HostId { address: from.clone(), incarnation: report.incarnation };
     let group = {
-        let mut board = lock(&state.board);
-        let Some(group) = board.group_of(report.group).cloned() else { return };
-        let is_new = lock(&state.slots.ledger).hear(&mut board, &host, report, Instant::now());
+        let mut placement = lock(&state.placement);
+        let Some(group) = placement.group_of(report.group).cloned() else { return };
+        let is_new =
+            lock(&state.slots.ledger).receive_report(&mut placement, &host, report, Instant::now());
         if !is_new {
             return;
         }
@@ -79,15 +80,15 @@
 
 async fn limit_items(state: &Arc<GatewayState>, group: &SlotGroup) {
     let limits = {
-        let board = lock(&state.board);
-        lock(&state.slots.ledger).item_limits(&board, group, Instant::now())
+        let placement = lock(&state.placement);
+        lock(&state.slots.ledger).item_limits(&placement, group, Instant::now())
     };
     for ItemLimit { host, target, items } in limits {
         if host == state.id() {
             keep_items(state, target, items);
         } else {
-            let order = SlotOrder::Keep { target, items };
-            send_to_host(state, HostMessage::Order(order), &host.address).await;
+            let command = SlotCommand::Limit { target, items };
+            send_to_host(state, HostMessage::Command(command), &host.address).await;
         }
     }
 }
@@ -95,33 +96,33 @@
 async fn grant_items(state: &Arc<GatewayState>, group: &SlotGroup) {
     let own = item_demand(state, group);
     let now = Instant::now();
-    lock(&state.slots.ledger).note_owned(group.hash(), now);
+    lock(&state.slots.ledger).record_ownership(group.hash(), now);
     let share = group_share(state, group, now);
     let grants = {
-        let mut board = lock(&state.board);
+        let mut placement = lock(&state.placement);
         let mut ledger = lock(&state.slots.ledger);
-        ledger.grant_items(&mut board, group, own, &share, now)
+        ledger.grant_items(&mut placement, group, own, &share, now)
     };
     for ItemGrant { host, target, items, grant } in grants {
         if host == state.id() {
             start_granted(state, group, target, items);
         } else {
-            let order = SlotOrder::Start { group: group.hash(), grant, target, items };
-            send_to_host(state, HostMessage::Order(order), &host.address).await;
+            let command = SlotCommand::Start { group: group.hash(), grant, target, items };
+            send_to_host(state, HostMessage::Command(command), &host.address).await;
         }
     }
 }
 
 /// Takes the claim of another host that an owner is silent.
-pub(crate) fn take_claim(state: &GatewayState, from: &Name, claim: &OwnerClaim) {
-    let silent = claim.silent();
-    let is_new = lock(&state.slots.owners).hear_claim(from, &silent, Instant::now());
+pub(crate) fn take_owner_failure(state: &GatewayState, from: &Name, failure: &OwnerFailure) {
+    let failed = failure.failed_host();
+    let is_new = lock(&state.slots.owners).receive_failure(from, &failed, Instant::now());
     if is_new {
         log::warn!(
-            peer = &*silent.address, incarnation = silent.incarnation, source = &**from;
+            peer = &*failed.address, incarnation = failed.incarnation, source = &**from;
             "owner-passed-over"
         );
-        state.slots.hasten_all();
+        state.slots.bring_all_forward();
     }
 }
 
@@ -131,18 +132,18 @@
     loop {
         tokio::time::sleep(TEND_EVERY).await;
         if turn.is_multiple_of(CLAIM_EVERY) {
-            note_owned_groups(&state);
+            record_owned_groups(&state);
         }
         turn = turn.wrapping_add(1);
-        log_doubts(&state);
+        log_outliers(&state);
         let owned = {
-            let mut board = lock(&state.board);
+            let mut placement = lock(&state.placement);
             let mut ledger = lock(&state.slots.ledger);
-            ledger.expire(&mut board, Instant::now());
+            ledger.expire(&mut placement, Instant::now());
             ledger.owned()
         };
         for hash in owned {
-            let group = lock(&state.board).group_of(hash).cloned();
+            let group = lock(&state.placement).group_of(hash).cloned();
             if let Some(group) = group {
                 run_group(&state, &group).await;
             }
@@ -151,11 +152,11 @@
 }
 
 /// One line for each target that is set aside for failing too much, or used again.
-fn log_doubts(state: &GatewayState) {
-    let mut board = lock(&state.board);
-    for change in board.take_doubt_changes(Instant::now()) {
-        let id = board.by_hash(change.target).map(|target| target.id.clone());
-        let message = if change.is_doubtful { "target-set-aside" } else { "target-used-again" };
+fn log_outliers(state: &GatewayState) {
+    let mut placement = lock(&state.placement);
+    for change in placement.take_outlier_changes(Instant::now()) {
+        let id = placement.by_hash(change.target).map(|target| target.id.clone());
+        let message = if change.is_outlier { "target-set-aside" } else { "target-used-again" };
         log::warn!(
             target_id = id.as_deref().unwrap_or("-"), failures = change.failures,
             successes = change.successes;
@@ -165,11 +166,11 @@
 }
 
 /// Takes note of the groups that are this host's, so that it is settled when the first items come.
-fn note_owned_groups(state: &GatewayState) {
-    let groups = lock(&state.board).all_groups();
+fn record_owned_groups(state: &GatewayState) {
+    let groups = lock(&state.placement).all_groups();
     for group in groups {
         if owner_of(state, &group).is_some_and(|owner| owner == state.id()) {
-            lock(&state.slots.ledger).note_owned(group.hash(), Instant::now());
+            lock(&state.slots.ledger).record_ownership(group.hash(), Instant::now());
         }
     }
 }
--- a/crates/cuminramp-gateway/src/slots/report.rs
+++ b/crates/cuminramp-gateway/src/slots/report.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 
 use cuminramp_core::{HostId, Name};
-use cuminramp_fleet::{HostMessage, SlotGroup, SlotOrder, SlotReport};
+use cuminramp_fleet::{HostMessage, SlotCommand, SlotGroup, SlotReport};
 use tokio::time::{Instant, sleep_until};
 
 use super::owner::run_group;
@@ -29,10 +29,10 @@
             () = state.slots.report_wanted.notified() => continue,
         }
         let groups = {
-            let board = lock(&state.board);
+            let placement = lock(&state.placement);
             let pools = waiting_pools(&state);
             let is_busy =
-                |group: &SlotGroup| board.is_busy_in(group) || pools.contains(&group.pool);
+                |group: &SlotGroup| placement.is_busy_in(group) || pools.contains(&group.pool);
             lock(&state.slots.reports).take_due(is_busy, Instant::now())
         };
         for group in groups {
@@ -55,17 +55,17 @@
 fn make_report(state: &GatewayState, group: &SlotGroup, owner: &HostId) -> SlotReport {
     let now = Instant::now();
     let demand = item_demand(state, group);
-    let seen_grant = state.slots.tell_grants(&owner.address);
-    let mut board = lock(&state.board);
+    let acknowledged_grant = state.slots.tell_grants(&owner.address);
+    let mut placement = lock(&state.placement);
     SlotReport {
         incarnation: state.me.incarnation,
         sequence: state.slots.report_sequence.fetch_add(1, Ordering::Relaxed),
         group: group.hash(),
-        seen_grant,
-        loads: board.own_loads(group),
-        told: board.take_loads(group),
-        outcomes: board.own_outcomes(group, now),
-        avoided: board.avoided(group, now),
+        acknowledged_grant,
+        loads: placement.own_loads(group),
+        reported_loads: placement.take_reported_loads(group),
+        outcomes: placement.own_outcomes(group, now),
+        avoided: placement.avoided(group, now),
         demand,
     }
 }
@@ -74,24 +74,24 @@
 /// Did all learn it at once, each would hand out slots for the same items.
 pub(crate) fn ask_for_item_slots(state: &GatewayState) {
     for pool in waiting_pools(state) {
-        let groups = lock(&state.board).groups(&pool);
+        let groups = lock(&state.placement).groups(&pool);
         for group in groups {
             if group.zone == state.me.zone {
-                state.slots.hasten(&group);
+                state.slots.bring_forward(&group);
             } else {
-                state.slots.note(&group);
+                state.slots.schedule(&group);
             }
         }
     }
 }
 
 /// Takes an order of an owner.
-pub(crate) fn take_order(state: &Arc<GatewayState>, from: &Name, order: SlotOrder) {
-    match order {
-        SlotOrder::Keep { target, items } => keep_items(state, target, items),
-        SlotOrder::Start { group, grant, target, items } => {
+pub(crate) fn take_command(state: &Arc<GatewayState>, from: &Name, command: SlotCommand) {
+    match command {
+        SlotCommand::Limit { target, items } => keep_items(state, target, items),
+        SlotCommand::Start { group, grant, target, items } => {
             let is_usable = state.slots.take_grant(from, grant);
-            let group = lock(&state.board).group_of(group).cloned();
+            let group = lock(&state.placement).group_of(group).cloned();
             if let Some(group) = group.filter(|_| is_usable) {
                 start_granted(state, &group, target, items);
             }
@@ -101,7 +101,7 @@
 
 /// Lets items leave a target until only so many stay.
 pub(super) fn keep_items(state: &GatewayState, target: u32, items: u16) {
-    let Some(id) = lock(&state.board).by_hash(target).map(|target| target.id.clone()) else {
+    let Some(id) = lock(&state.placement).by_hash(target).map(|target| target.id.clone()) else {
         return;
     };
     let stopped = state.running.keep(&id, u32::from(items));
@@ -114,14 +114,14 @@
 /// next report.
 pub(super) fn start_granted(state: &Arc<GatewayState>, group: &SlotGroup, target: u32, items: u16) {
     let found = {
-        let board = lock(&state.board);
-        let is_avoided = board.avoided(group, Instant::now()).contains(&target);
-        board.by_hash(target).filter(|_| !is_avoided).cloned()
+        let placement = lock(&state.placement);
+        let is_avoided = placement.avoided(group, Instant::now()).contains(&target);
+        placement.by_hash(target).filter(|_| !is_avoided).cloned()
     };
     let started = found.map_or(0, |target| fill_slots(state, &group.pool, &target, items));
     if started < items {
-        state.slots.hasten(group);
+        state.slots.bring_forward(group);
     } else {
-        state.slots.note(group);
+        state.slots.schedule(group);
     }
 }
--- a/crates/cuminramp-gateway/src/state.rs
+++ b/crates/cuminramp-gateway/src/state.rs
@@ -6,8 +6,8 @@
 
 use cuminramp_core::{HostId, RandomSource};
 use cuminramp_fleet::{
-    DeclarationStore, DrainBook, FleetDeclarations, JobBoard, KnownHost, PeerTable, QuotaBook,
-    RegionMap, TargetBoard,
+    DeclarationStore, DrainTable, FleetDeclarations, JobTable, KnownHost, PeerTable,
+    PlacementTable, QuotaTable, RegionMap,
 };
 use cuminramp_settings::GatewaySettings;
 use cuminramp_targets::CrashTable;
@@ -17,11 +17,11 @@
 use tokio_util::task::TaskTracker;
 
 use crate::interfaces::{CallFormat, FleetFormat, FleetStore};
-use crate::jobs::{JobDirectory, JobKeepers, RunningItems};
+use crate::jobs::{JobDirectory, JobWriters, RunningItems};
 use crate::metrics::GatewayMetrics;
 use crate::peers::{HostSocket, PeerClients};
 use crate::slots::SlotState;
-use crate::sync::{NewsRows, RelayedStore};
+use crate::sync::{RelayedStore, UpdateRows};
 use crate::targets::TargetConnections;
 
 /// How long the store is asked whether it answers a host that hears few others: callers want to know of
@@ -48,19 +48,19 @@
     pub(crate) calls: Arc<dyn CallFormat>,
     pub(crate) fleet: Arc<dyn FleetFormat>,
     pub(crate) declarations: Mutex<DeclarationStore>,
-    pub(crate) drains: Mutex<DrainBook>,
+    pub(crate) drains: Mutex<DrainTable>,
     pub(crate) regions: RegionMap,
-    pub(crate) quota: Mutex<QuotaBook>,
-    pub(crate) board: Mutex<TargetBoard>,
+    pub(crate) quota: Mutex<QuotaTable>,
+    pub(crate) placement: Mutex<PlacementTable>,
     /// Requests that broke targets.
     pub(crate) crashes: Mutex<CrashTable>,
     pub(crate) peers: Mutex<PeerTable>,
-    pub(crate) jobs: Mutex<JobBoard>,
+    pub(crate) jobs: Mutex<JobTable>,
     pub(crate) directory: JobDirectory,
-    pub(crate) keepers: JobKeepers,
+    pub(crate) writers: JobWriters,
     pub(crate) running: RunningItems,
     pub(crate) connections: TargetConnections,
-    pub(crate) news: Mutex<NewsRows>,
+    pub(crate) updates: Mutex<UpdateRows>,
     pub(crate) random: Mutex<Box<dyn RandomSource>>,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) slots: SlotState,
@@ -69,7 +69,7 @@
     /// Whether the table of hosts was read since the start; until then others are asked for hosts.
     pub(crate) has_read_hosts: AtomicBool,
     /// One question for news at a time.
-    pub(crate) asks_for_news: Semaphore,
+    pub(crate) asks_for_updates: Semaphore,
     pub(crate) heartbeat_wanted: Notify,
     pub(crate) items_wanted: Notify,
     pub(crate) started: Instant,
@@ -103,7 +103,7 @@
     /// Whether this host is cut off from most hosts and from the store, so that another one is likely to do
     /// what it can't. Where most hosts are heard and the store answers none of them, waiting is better.
     pub(crate) async fn is_cut_off(&self) -> bool {
-        if lock(&self.peers).hears_most(Instant::now()) {
+        if lock(&self.peers).has_majority(Instant::now()) {
             return false;
         }
         !self.relay.is_reached() || !self.relay.answers_within(CUT_OFF_CHECK).await
@@ -115,7 +115,7 @@
     }
 
     /// Tells other hosts soon that something changed.
-    pub(crate) fn want_heartbeat(&self) {
+    pub(crate) fn request_heartbeat(&self) {
         self.heartbeat_wanted.notify_one();
     }
 
--- a/crates/cuminramp-gateway/src/sync/drains.rs
+++ b/crates/cuminramp-gateway/src/sync/drains.rs
@@ -15,8 +15,8 @@
         Some(ZoneDrain { zone, version: row.version, is_drained: true })
     });
     let now = Instant::now();
-    let news = lock(&state.drains).take_whole(listed.collect(), snapshot.version, now);
-    enforce(state, &news, "store");
+    let updates = lock(&state.drains).apply_snapshot(listed.collect(), snapshot.version, now);
+    enforce(state, &updates, "store");
 }
 
 /// Takes the drains among changed rows of the operators' table.
@@ -34,27 +34,27 @@
         return;
     }
     let now = Instant::now();
-    let mut book = lock(&state.drains);
-    let news: Vec<ZoneDrain> =
-        offered.into_iter().filter(|drain| book.offer(drain.clone(), now)).collect();
-    drop(book);
-    enforce(state, &news, source);
+    let mut table = lock(&state.drains);
+    let updates: Vec<ZoneDrain> =
+        offered.into_iter().filter(|drain| table.offer(drain.clone(), now)).collect();
+    drop(table);
+    enforce(state, &updates, source);
 }
 
 /// Puts news in force here and passes them on.
-fn enforce(state: &Arc<GatewayState>, news: &[ZoneDrain], source: &str) {
-    if news.is_empty() {
+fn enforce(state: &Arc<GatewayState>, updates: &[ZoneDrain], source: &str) {
+    if updates.is_empty() {
         return;
     }
     let drained = lock(&state.drains).drained();
-    lock(&state.board).set_drained(drained, Instant::now());
-    for drain in news {
+    lock(&state.placement).set_drained(drained, Instant::now());
+    for drain in updates {
         let message = if drain.is_drained { "zone-drained" } else { "zone-in-use" };
         log::warn!(
             zone = &*drain.zone, row_version = drain.version, source = source;
             "{message}"
         );
     }
-    state.want_heartbeat();
+    state.request_heartbeat();
     state.items_wanted.notify_one();
 }
--- a/crates/cuminramp-gateway/src/sync/follow.rs
+++ b/crates/cuminramp-gateway/src/sync/follow.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use cuminramp_fleet::HeartbeatRhythm;
+use cuminramp_fleet::HeartbeatSchedule;
 use cuminramp_platform::{RowChange, StoreError, TableSnapshot, WatchAnswer};
 use tokio::time::Instant;
 
@@ -25,7 +25,7 @@
     fn table(&self) -> &'static str;
 
     /// Pause between two watches, so that a table that changes all the time costs few calls.
-    fn pause(&self, rhythm: &HeartbeatRhythm) -> Duration;
+    fn pause(&self, schedule: &HeartbeatSchedule) -> Duration;
 
     /// Takes the whole table.
     async fn reset(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot);
@@ -50,19 +50,19 @@
         };
         match outcome {
             Ok(next) => {
-                lock(&state.news).note_store_success(Instant::now());
+                lock(&state.updates).note_store_success(Instant::now());
                 if is_lost {
                     log::info!(table = follower.table(), version = next.unwrap_or(0); "store-regained");
                 }
                 is_lost = false;
                 version = next;
                 pause = PAUSES.0;
-                let rhythm = lock(&state.peers).rhythm();
-                tokio::time::sleep(follower.pause(&rhythm)).await;
+                let schedule = lock(&state.peers).schedule();
+                tokio::time::sleep(follower.pause(&schedule)).await;
             }
             Err(error) => {
                 state.metrics.count_store_failure("watch");
-                lock(&state.news).note_store_failure(asked);
+                lock(&state.updates).note_store_failure(asked);
                 if !is_lost {
                     let reason = error.to_string();
                     log::warn!(
--- a/crates/cuminramp-gateway/src/sync/hosts.rs
+++ b/crates/cuminramp-gateway/src/sync/hosts.rs
@@ -57,7 +57,7 @@
             caller_address: host.caller_address.into(),
             zone: host.zone.into(),
         };
-        let is_new = lock(&state.peers).learn(&known, Instant::now());
+        let is_new = lock(&state.peers).discover(&known, Instant::now());
         if is_new {
             greet_host(state, &known.address).await;
         }
--- a/crates/cuminramp-gateway/src/sync/mod.rs
+++ b/crates/cuminramp-gateway/src/sync/mod.rs
@@ -11,6 +11,6 @@
 pub(crate) use hosts::{announce_host, learn_hosts, withdraw_host};
 pub(crate) use relay::{RelayedStore, answer_store_call};
 pub(crate) use updates::{
-    DeclarationsFollower, NewsRows, TargetsFollower, answer_news, ask_for_news,
-    drop_missing_targets,
+    DeclarationsFollower, TargetsFollower, UpdateRows, answer_updates, drop_missing_targets,
+    request_updates,
 };
--- a/crates/cuminramp-gateway/src/sync/relay.rs
+++ b/crates/cuminramp-gateway/src/sync/relay.rs
@@ -86,7 +86,7 @@
         }
         let Some(state) = self.state() else { return };
         log::warn!(reason = error.to_string().as_str(); "store-out-of-reach");
-        state.want_heartbeat();
+        state.request_heartbeat();
         tokio::spawn(probe(state));
     }
 
@@ -151,7 +151,7 @@
     }
     state.relay.is_lost.store(false, Ordering::Relaxed);
     log::info!(after_ms = began.elapsed().as_millis() as u64; "store-in-reach");
-    state.want_heartbeat();
+    state.request_heartbeat();
 }
 
 fn pack(row: &Row) -> StoreRow {
--- a/crates/cuminramp-gateway/src/sync/updates.rs
+++ b/crates/cuminramp-gateway/src/sync/updates.rs
@@ -6,7 +6,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use cuminramp_core::{Name, SortedMap};
-use cuminramp_fleet::{ChangedRow, HeartbeatRhythm, KnownRow, RowAction, RowRegistry};
+use cuminramp_fleet::{ChangedRow, HeartbeatSchedule, KnownRow, RowAction, RowCache};
 use cuminramp_platform::{Row, RowChange, TableSnapshot};
 use cuminramp_wire::fleet::{NewsReply, NewsRequest, NewsRow};
 use tokio::time::Instant;
@@ -33,16 +33,16 @@
 
 /// Rows of declarations and targets as this host knows them, to apply and to pass on.
 #[derive(Debug, Default)]
-pub(crate) struct NewsRows {
+pub(crate) struct UpdateRows {
     declarations: SortedMap<String, Row>,
-    targets: RowRegistry,
+    targets: RowCache,
     /// Since when calls of the store have failed.
     lost_since: Option<Instant>,
     /// When the last long outage ended.
     outage_ended: Option<Instant>,
 }
 
-impl NewsRows {
+impl UpdateRows {
     /// Version up to which targets are known.
     pub(crate) fn targets_version(&self) -> u64 {
         self.targets.version()
@@ -86,7 +86,7 @@
         self.table
     }
 
-    fn pause(&self, _: &HeartbeatRhythm) -> Duration {
+    fn pause(&self, _: &HeartbeatSchedule) -> Duration {
         DECLARATIONS_PAUSE
     }
 
@@ -111,8 +111,8 @@
     let declared = match state.fleet.read_declarations(&row) {
         Ok(Some(declared)) => declared,
         Ok(None) => return,
-        Err(fault) => {
-            let reason = fault.to_string();
+        Err(error) => {
+            let reason = error.to_string();
             log::warn!(
                 key = row.key.as_str(), version = row.version, reason = reason.as_str();
                 "declarations-unreadable"
@@ -125,13 +125,13 @@
         return;
     }
     lock(&state.quota).set_limits(&declared, Instant::now());
-    lock(&state.board).set_cold_rules(declared.cold_rules());
+    lock(&state.placement).set_cold_rules(declared.cold_rules());
     log::info!(
         version = declared.version(), row_version = row.version, source = source;
         "declarations-in-force"
     );
-    lock(&state.news).declarations.insert(row.key.clone(), row);
-    state.want_heartbeat();
+    lock(&state.updates).declarations.insert(row.key.clone(), row);
+    state.request_heartbeat();
     state.items_wanted.notify_one();
 }
 
@@ -141,15 +141,15 @@
         self.table
     }
 
-    fn pause(&self, rhythm: &HeartbeatRhythm) -> Duration {
-        rhythm.stretch(TARGETS_PAUSE, LONGEST_TARGETS_PAUSE)
+    fn pause(&self, schedule: &HeartbeatSchedule) -> Duration {
+        schedule.scale(TARGETS_PAUSE, LONGEST_TARGETS_PAUSE)
     }
 
     async fn reset(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot) {
         let rows = snapshot.rows.into_iter().map(into_known).collect();
-        let mut news = lock(&state.news);
-        let actions = news.targets.take_whole(rows, snapshot.version, Instant::now());
-        drop(news);
+        let mut updates = lock(&state.updates);
+        let actions = updates.targets.apply_snapshot(rows, snapshot.version, Instant::now());
+        drop(updates);
         apply_actions(state, actions, "store");
     }
 
@@ -160,10 +160,10 @@
             is_deleted: change.is_deleted,
         });
         let changes = changes.collect();
-        let mut news = lock(&state.news);
-        let is_shaky = news.is_store_shaky(now);
-        let actions = news.targets.take_changes(changes, version, is_shaky, now);
-        drop(news);
+        let mut updates = lock(&state.updates);
+        let is_shaky = updates.is_store_shaky(now);
+        let actions = updates.targets.apply_changes(changes, version, is_shaky, now);
+        drop(updates);
         apply_actions(state, actions, "store");
         state.items_wanted.notify_one();
     }
@@ -193,16 +193,16 @@
                 row_version = row.version, source = source;
                 "target-known"
             );
-            lock(&state.board).put(target);
+            lock(&state.placement).put(target);
         }
-        Err(fault) => {
-            let reason = fault.to_string();
+        Err(error) => {
+            let reason = error.to_string();
             log::warn!(
                 key = row.key.as_str(), row_version = row.version, reason = reason.as_str();
                 "target-unreadable"
             );
             if let Some(id) = state.fleet.target_id(&row.key) {
-                lock(&state.board).remove(&id);
+                lock(&state.placement).remove(&id);
             }
         }
     }
@@ -211,28 +211,28 @@
 fn remove_target(state: &Arc<GatewayState>, key: &str, version: u64, source: &str) {
     let Some(id) = state.fleet.target_id(key) else { return };
     log::info!(target_id = &*id, row_version = version, source = source; "target-gone");
-    lock(&state.board).remove(&id);
+    lock(&state.placement).remove(&id);
 }
 
 /// Takes targets out that seemed gone and did not come back in time.
 pub(crate) fn drop_missing_targets(state: &Arc<GatewayState>, now: Instant) {
-    let actions = lock(&state.news).targets.take_due(now);
+    let actions = lock(&state.updates).targets.take_due(now);
     apply_actions(state, actions, "missing-from-store");
 }
 
 /// What another host lacks.
-pub(crate) fn answer_news(state: &GatewayState, request: &NewsRequest) -> NewsReply {
+pub(crate) fn answer_updates(state: &GatewayState, request: &NewsRequest) -> NewsReply {
     let declared = lock(&state.declarations).current().map_or(0, |held| held.version());
-    let news = lock(&state.news);
-    let version = news.targets_version();
+    let updates = lock(&state.updates);
+    let version = updates.targets_version();
     let pack = |key: &str, value: &Bytes, version| NewsRow {
         key: key.to_owned(),
         value: value.to_vec(),
         version,
     };
     let declarations =
-        news.declarations.values().map(|row| pack(&row.key, &row.value, row.version));
-    let targets = news.targets.rows().map(|row| pack(&row.key, &row.value, row.version));
+        updates.declarations.values().map(|row| pack(&row.key, &row.value, row.version));
+    let targets = updates.targets.rows().map(|row| pack(&row.key, &row.value, row.version));
     NewsReply {
         declarations: declared,
         declaration_rows: declarations.filter(|_| declared > request.declarations).collect(),
@@ -246,10 +246,10 @@
 ///
 /// A host that can't reach the store would go on with keys that were taken away and send work to
 /// targets that leave; one would see it in answers that other hosts no longer give.
-pub(crate) async fn ask_for_news(state: Arc<GatewayState>, address: Name) {
+pub(crate) async fn request_updates(state: Arc<GatewayState>, address: Name) {
     tokio::time::sleep(STORE_FIRST).await;
     let declarations = lock(&state.declarations).current().map_or(0, |held| held.version());
-    let targets = lock(&state.news).targets_version();
+    let targets = lock(&state.updates).targets_version();
     let is_behind =
         lock(&state.peers).get(&address).and_then(|peer| peer.heartbeat.as_ref()).is_some_and(
             |heartbeat| heartbeat.declarations > declarations || heartbeat.targets > targets,
@@ -272,7 +272,7 @@
             value: Bytes::from(row.value),
             version: row.version,
         });
-        let actions = lock(&state.news).targets.take_news(rows.collect(), reply.targets);
+        let actions = lock(&state.updates).targets.apply_updates(rows.collect(), reply.targets);
         apply_actions(&state, actions, &address);
     }
 }
--- a/crates/cuminramp-gateway/src/targets/send.rs
+++ b/crates/cuminramp-gateway/src/targets/send.rs
@@ -82,8 +82,8 @@
 impl TargetRun {
     /// Counts work, and lets the owner of the slot know with the next report.
     pub(crate) fn begin(state: &Arc<GatewayState>, target: FleetTarget, kind: WorkKind) -> Self {
-        lock(&state.board).begin(&target.id, kind);
-        state.slots.note(&target.group());
+        lock(&state.placement).begin(&target.id, kind);
+        state.slots.schedule(&target.group());
         TargetRun { state: state.clone(), target, kind, lease: None, began: Instant::now() }
     }
 
@@ -92,16 +92,16 @@
         if let Some(lease) = self.lease.take() {
             self.state.connections.put_back(lease, keep_alive);
         }
-        let mut board = lock(&self.state.board);
-        board.saw_success(&self.target.id, Instant::now());
+        let mut placement = lock(&self.state.placement);
+        placement.record_success(&self.target.id, Instant::now());
         if self.kind == WorkKind::Online {
-            board.saw_hold(self.began.elapsed());
+            placement.record_hold(self.began.elapsed());
         }
     }
 
     /// The target broke off or fell silent.
     pub(crate) fn end_failed(self) {
-        lock(&self.state.board).saw_failure(&self.target.id, Instant::now());
+        lock(&self.state.placement).record_failure(&self.target.id, Instant::now());
         self.state.connections.close_idle(&self.target.address);
     }
 }
@@ -109,8 +109,8 @@
 impl Drop for TargetRun {
     fn drop(&mut self) {
         drop(self.lease.take());
-        lock(&self.state.board).end(&self.target.id, self.kind);
-        self.state.slots.hasten(&self.target.group());
+        lock(&self.state.placement).end(&self.target.id, self.kind);
+        self.state.slots.bring_forward(&self.target.group());
     }
 }
 
@@ -132,7 +132,7 @@
     match &outcome {
         Ok(_) => {
             state.metrics.count_attempt("answered");
-            lock(&state.board).saw_reached(&run.target.id);
+            lock(&state.placement).record_reachable(&run.target.id);
         }
         Err(failure) => note_failure(&state, run.target.clone(), failure),
     }
@@ -176,7 +176,7 @@
     let head = state.calls.read_answer(&parts);
     check_answer(&request, &parts, &head, is_reused)?;
     if let Some(busy) = head.busy {
-        lock(&state.board).saw_load(&run.target.id, busy, Instant::now());
+        lock(&state.placement).record_load(&run.target.id, busy, Instant::now());
     }
     Ok((parts, head, body))
 }
@@ -218,17 +218,17 @@
 fn note_failure(state: &GatewayState, target: FleetTarget, failure: &SendFailure) {
     state.metrics.count_attempt(failure.word());
     let now = Instant::now();
-    let mut board = lock(&state.board);
+    let mut placement = lock(&state.placement);
     match failure {
-        SendFailure::Refused { is_misdirected: true, .. } => board.remove(&target.id),
-        SendFailure::Refused { .. } => board.saw_full(&target.id, now),
+        SendFailure::Refused { is_misdirected: true, .. } => placement.remove(&target.id),
+        SendFailure::Refused { .. } => placement.record_full(&target.id, now),
         SendFailure::NotSent(_) => {
-            board.saw_unreached(&target.id, now);
-            board.saw_failure(&target.id, now);
+            placement.record_unreachable(&target.id, now);
+            placement.record_failure(&target.id, now);
         }
-        _ => board.saw_failure(&target.id, now),
+        _ => placement.record_failure(&target.id, now),
     }
-    drop(board);
+    drop(placement);
     if matches!(failure, SendFailure::Broken(_) | SendFailure::Silent(_)) {
         state.connections.close_idle(&target.address);
     }
--- a/crates/cuminramp-replay/src/world.rs
+++ b/crates/cuminramp-replay/src/world.rs
@@ -4,8 +4,8 @@
 
 use cuminramp_core::{HostId, Name, SeededRandom};
 use cuminramp_fleet::{
-    FleetTarget, ItemFailure, ItemProgress, JobBoard, JobPolicy, JobSpec, PlacementPolicy,
-    SlotGroup, SlotLedger, TargetBoard, TargetPhase, WorkKind,
+    FleetTarget, ItemFailure, ItemProgress, JobPolicy, JobSpec, JobTable, PlacementPolicy,
+    PlacementTable, SlotGroup, SlotLedger, TargetPhase, WorkKind,
 };
 use tokio::time::Instant;
 
@@ -50,16 +50,16 @@
 
 struct EmulatedHost {
     id: HostId,
-    board: TargetBoard,
-    jobs: JobBoard,
+    placement: PlacementTable,
+    jobs: JobTable,
     /// The last grant that it got, and the number of its last report.
-    seen_grant: u64,
+    acknowledged_grant: u64,
     reports: u64,
 }
 
 /// The host that owns the slots of all targets; it serves no callers here.
 struct EmulatedOwner {
-    board: TargetBoard,
+    placement: PlacementTable,
     ledger: SlotLedger,
     asks: u64,
 }
@@ -77,7 +77,7 @@
     jobs: Vec<JobSpec>,
     finished: Vec<(Name, usize)>,
     saved: Vec<(Name, usize, ItemProgress)>,
-    next_news: Instant,
+    next_updates: Instant,
     is_away: bool,
     report: ReplayReport,
 }
@@ -90,36 +90,36 @@
     name[1..].parse().unwrap_or(0)
 }
 
-fn new_board(plan: &ReplayPlan) -> TargetBoard {
-    let mut board = TargetBoard::new(ZONE.into(), PlacementPolicy::default());
+fn new_placement(plan: &ReplayPlan) -> PlacementTable {
+    let mut placement = PlacementTable::new(ZONE.into(), PlacementPolicy::default());
     for target in 0..plan.targets {
-        board.put(FleetTarget {
+        placement.put(FleetTarget {
             id: target_name(target),
             pool: POOL.into(),
             address: "127.0.0.1:1".into(),
             zone: ZONE.into(),
             slots: plan.slots,
             phase: TargetPhase::Serving,
-            born_ms: 1,
+            started_at_ms: 1,
             cold_for: Duration::ZERO,
         });
     }
-    board
+    placement
 }
 
 fn new_host(index: usize, incarnation: u64, plan: &ReplayPlan) -> EmulatedHost {
     EmulatedHost {
         id: HostId { address: format!("h{index:03}").into(), incarnation },
-        board: new_board(plan),
-        jobs: JobBoard::new(JobPolicy::default()),
-        seen_grant: 0,
+        placement: new_placement(plan),
+        jobs: JobTable::new(JobPolicy::default()),
+        acknowledged_grant: 0,
         reports: 0,
     }
 }
 
 fn new_owner(plan: &ReplayPlan) -> EmulatedOwner {
     let id = HostId { address: "owner".into(), incarnation: 1 };
-    EmulatedOwner { board: new_board(plan), ledger: SlotLedger::new(id), asks: 0 }
+    EmulatedOwner { placement: new_placement(plan), ledger: SlotLedger::new(id), asks: 0 }
 }
 
 fn group() -> SlotGroup {
@@ -158,7 +158,7 @@
             jobs: vec![],
             finished: vec![],
             saved: vec![],
-            next_news: start,
+            next_updates: start,
             is_away: false,
             report: ReplayReport::default(),
         }
@@ -169,15 +169,15 @@
         self.strike();
         self.advance_targets();
         if !self.is_away {
-            if self.now >= self.next_news {
+            if self.now >= self.next_updates {
                 self.report_all();
                 self.save_progress();
-                self.next_news = self.now + self.plan.news;
+                self.next_updates = self.now + self.plan.news;
             }
             self.start_items();
         }
         let now = self.now;
-        self.owner.ledger.expire(&mut self.owner.board, now);
+        self.owner.ledger.expire(&mut self.owner.placement, now);
         self.arrive();
     }
 
@@ -206,8 +206,8 @@
     fn tell_load(&mut self, work: usize, busy: u32) {
         let begun = &self.works[work];
         if begun.is_wanted && self.plan.tells_load {
-            let board = &mut self.hosts[begun.host].board;
-            board.saw_load(&begun.target, busy, self.now);
+            let placement = &mut self.hosts[begun.host].placement;
+            placement.record_load(&begun.target, busy, self.now);
         }
     }
 
@@ -227,8 +227,8 @@
         let host = &mut self.hosts[done.host];
         match &done.owner {
             Owner::Caller { since, may_return } => {
-                host.board.end(&done.target, WorkKind::Online);
-                host.board.saw_hold(ran);
+                host.placement.end(&done.target, WorkKind::Online);
+                host.placement.record_hold(ran);
                 let first = done.began.unwrap_or(self.now) + FIRST_EVENT;
                 let is_in_time = first - *since <= OBJECTIVE;
                 self.report.in_time += u32::from(is_in_time);
@@ -236,14 +236,14 @@
                 self.report.returned += u32::from(!may_return);
             }
             Owner::Item { job, index, due, ran: before } => {
-                host.board.end(&done.target, WorkKind::Batch);
+                host.placement.end(&done.target, WorkKind::Batch);
                 let progress = ItemProgress { ran: *before + ran, ..ItemProgress::default() };
                 host.jobs.complete(job, *index, progress, self.now);
                 self.finished.push((job.clone(), *index));
                 self.report.items_in_time += u32::from(self.now <= *due);
             }
         }
-        host.board.saw_success(&done.target, self.now);
+        host.placement.record_success(&done.target, self.now);
     }
 
     /// The target broke under it.
@@ -256,11 +256,11 @@
         let host = &mut self.hosts[broken.host];
         match &broken.owner {
             Owner::Caller { .. } => {
-                host.board.end(&broken.target, WorkKind::Online);
+                host.placement.end(&broken.target, WorkKind::Online);
                 self.report.failed += 1;
             }
             Owner::Item { job, index, ran, .. } => {
-                host.board.end(&broken.target, WorkKind::Batch);
+                host.placement.end(&broken.target, WorkKind::Batch);
                 let progress = progress_of(*ran);
                 host.jobs.fail(job, *index, ItemFailure::Broken, progress, self.now);
             }
@@ -276,7 +276,7 @@
         self.works[work].is_wanted = false;
         self.report.slot_s_used += ran.as_secs_f64();
         let host = &mut self.hosts[stopped.host];
-        host.board.end(&stopped.target, WorkKind::Batch);
+        host.placement.end(&stopped.target, WorkKind::Batch);
         let progress = progress_of(*before + ran);
         host.jobs.fail(job, *index, ItemFailure::GaveWay, progress, self.now);
     }
@@ -319,12 +319,12 @@
             Owner::Item { .. } => WorkKind::Batch,
         };
         let work = self.works.len();
-        self.hosts[host].board.begin(&target, kind);
+        self.hosts[host].placement.begin(&target, kind);
         self.works.push(Work { owner, host, target: target.clone(), began: None, is_wanted: true });
         let emulated = &mut self.targets[target_index(&target)];
         if emulated.health != TargetHealth::Sound {
             self.report.broken_sends += u32::from(kind == WorkKind::Online);
-            self.hosts[host].board.saw_failure(&target, self.now);
+            self.hosts[host].placement.record_failure(&target, self.now);
             self.break_work(work);
             return true;
         }
@@ -341,11 +341,11 @@
         self.works[work].is_wanted = false;
         self.report.refused_sends += 1;
         let host = &mut self.hosts[refused.host];
-        host.board.saw_full(&refused.target, self.now);
+        host.placement.record_full(&refused.target, self.now);
         match &refused.owner {
-            Owner::Caller { .. } => host.board.end(&refused.target, WorkKind::Online),
+            Owner::Caller { .. } => host.placement.end(&refused.target, WorkKind::Online),
             Owner::Item { job, index, ran, .. } => {
-                host.board.end(&refused.target, WorkKind::Batch);
+                host.placement.end(&refused.target, WorkKind::Batch);
                 host.jobs.fail(job, *index, ItemFailure::GaveWay, progress_of(*ran), self.now);
             }
         }
--- a/crates/cuminramp-replay/src/world/arrivals.rs
+++ b/crates/cuminramp-replay/src/world/arrivals.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cuminramp_core::{Name, RandomSource};
-use cuminramp_fleet::{ItemSpec, JobSpec, OnlineNeed, PlacementDecision, ZoneLimit};
+use cuminramp_fleet::{ItemSpec, JobSpec, PlacementDecision, PlacementRequest, ZoneLimit};
 use tokio::time::Instant;
 
 use super::{FAULT_AT, OBJECTIVE, Owner, POOL, STEP, World};
@@ -87,7 +87,7 @@
         };
         self.report.items += ITEMS as u32;
         let host = self.random.below(self.hosts.len());
-        self.hosts[host].jobs.hold(spec.clone(), &[], vec![]);
+        self.hosts[host].jobs.add(spec.clone(), &[], vec![]);
         self.jobs.push(spec);
     }
 
@@ -105,14 +105,14 @@
         let mut tried: Vec<Name> = Vec::new();
         while tried.len() < MOST_UNRUN_SENDS {
             let zones = ZoneLimit::none();
-            let need = OnlineNeed {
+            let request = PlacementRequest {
                 zones: &zones,
                 pool: POOL,
                 objective: OBJECTIVE,
-                is_again: !may_return,
+                is_retry: !may_return,
                 tried: &tried,
             };
-            match self.find_slot(host, &need) {
+            match self.find_slot(host, &request) {
                 PlacementDecision::Send(target) => {
                     self.report.sends += 1;
                     let owner = Owner::Caller { since, may_return };
--- a/crates/cuminramp-replay/src/world/faults.rs
+++ b/crates/cuminramp-replay/src/world/faults.rs
@@ -44,8 +44,8 @@
             self.break_work(run.work);
         }
         let name = target_name(target);
-        self.hosts.iter_mut().for_each(|host| host.board.remove(&name));
-        self.owner.board.remove(&name);
+        self.hosts.iter_mut().for_each(|host| host.placement.remove(&name));
+        self.owner.placement.remove(&name);
     }
 
     /// Power goes: targets go on with work that nobody waits for.
@@ -77,7 +77,7 @@
                 .map(|(_, index, progress)| (job.items[*index].id.clone(), progress.clone()))
                 .collect();
             let host = self.random.below(plan.hosts);
-            self.hosts[host].jobs.hold(job.clone(), &finished, known);
+            self.hosts[host].jobs.add(job.clone(), &finished, known);
             self.jobs.push(job);
         }
     }
--- a/crates/cuminramp-replay/src/world/slots.rs
+++ b/crates/cuminramp-replay/src/world/slots.rs
@@ -2,8 +2,8 @@
 
 use cuminramp_core::Name;
 use cuminramp_fleet::{
-    ColdShare, GroupShare, ItemLimit, OnlineNeed, PlacementDecision, SearchNeed, SearchStep,
-    SlotAsk, SlotOutcome, SlotReport, SlotSearch,
+    ColdShare, GroupShare, ItemLimit, PlacementDecision, PlacementRequest, SearchLimits,
+    SearchStep, SlotOutcome, SlotReport, SlotRequest, SlotSearch,
 };
 use tokio::time::Instant;
 
@@ -19,14 +19,14 @@
                 incarnation: host.id.incarnation,
                 sequence: host.reports,
                 group: group.hash(),
-                seen_grant: host.seen_grant,
-                loads: host.board.own_loads(&group),
-                told: host.board.take_loads(&group),
-                outcomes: host.board.own_outcomes(&group, now),
-                avoided: host.board.avoided(&group, now),
+                acknowledged_grant: host.acknowledged_grant,
+                loads: host.placement.own_loads(&group),
+                reported_loads: host.placement.take_reported_loads(&group),
+                outcomes: host.placement.own_outcomes(&group, now),
+                avoided: host.placement.avoided(&group, now),
                 demand: host.jobs.demand(|_| true, now),
             };
-            self.owner.ledger.hear(&mut self.owner.board, &host.id, report, now);
+            self.owner.ledger.receive_report(&mut self.owner.placement, &host.id, report, now);
         }
         self.give_way();
     }
@@ -35,14 +35,19 @@
     pub(super) fn start_items(&mut self) {
         let now = self.now;
         let owner = &mut self.owner;
-        let grants =
-            owner.ledger.grant_items(&mut owner.board, &group(), vec![], &ColdShare::Owner, now);
+        let grants = owner.ledger.grant_items(
+            &mut owner.placement,
+            &group(),
+            vec![],
+            &ColdShare::Owner,
+            now,
+        );
         for grant in grants {
             let Some(host) = self.hosts.iter().position(|host| host.id == grant.host) else {
                 continue;
             };
-            self.hosts[host].seen_grant = grant.grant;
-            let target = self.hosts[host].board.by_hash(grant.target).cloned();
+            self.hosts[host].acknowledged_grant = grant.grant;
+            let target = self.hosts[host].placement.by_hash(grant.target).cloned();
             let Some(target) = target else { continue };
             for _ in 0..grant.items {
                 self.start_item(host, target.id.clone());
@@ -51,30 +56,34 @@
     }
 
     /// Asks the owner for a slot as a host does for a request.
-    pub(super) fn find_slot(&mut self, host: usize, need: &OnlineNeed<'_>) -> PlacementDecision {
-        let wait_share = self.owner.board.wait_share();
-        let search_need = SearchNeed {
-            longest_wait: need.objective.mul_f64(wait_share),
-            is_again: need.is_again,
+    pub(super) fn find_slot(
+        &mut self,
+        host: usize,
+        request: &PlacementRequest<'_>,
+    ) -> PlacementDecision {
+        let wait_share = self.owner.placement.wait_share();
+        let search_limits = SearchLimits {
+            max_wait: request.objective.mul_f64(wait_share),
+            is_retry: request.is_retry,
         };
         let mut search = SlotSearch::new(vec![group()], ZONE, &mut self.random);
         loop {
-            match search.next(search_need, &mut self.random) {
+            match search.next(search_limits, &mut self.random) {
                 SearchStep::Ask { may_queue, .. } => {
-                    let outcome = self.ask(host, may_queue, need.tried);
+                    let outcome = self.ask(host, may_queue, request.tried);
                     if let SlotOutcome::Granted { target, grant } = outcome {
                         let held = &mut self.hosts[host];
-                        held.seen_grant = grant;
-                        if let Some(target) = held.board.by_hash(target).cloned() {
+                        held.acknowledged_grant = grant;
+                        if let Some(target) = held.placement.by_hash(target).cloned() {
                             return PlacementDecision::Send(target);
                         }
                     }
-                    search.hear(outcome);
+                    search.receive(outcome);
                 }
                 SearchStep::Refuse(after) => return PlacementDecision::Full(after),
                 SearchStep::Nowhere => {
-                    let board = &self.hosts[host].board;
-                    return board.place(need, &ColdShare::Owner, &mut self.random, self.now);
+                    let placement = &self.hosts[host].placement;
+                    return placement.place(request, &ColdShare::Owner, &mut self.random, self.now);
                 }
             }
         }
@@ -83,12 +92,12 @@
     fn ask(&mut self, host: usize, may_queue: bool, tried: &[Name]) -> SlotOutcome {
         let (now, group) = (self.now, group());
         let asking = &self.hosts[host];
-        let mut avoided = asking.board.avoided(&group, now);
-        avoided.extend(asking.board.hashes_of(tried));
+        let mut avoided = asking.placement.avoided(&group, now);
+        avoided.extend(asking.placement.hashes_of(tried));
         self.owner.asks += 1;
-        let ask = SlotAsk {
+        let slot_request = SlotRequest {
             incarnation: asking.id.incarnation,
-            ask: self.owner.asks,
+            request: self.owner.asks,
             group: group.hash(),
             avoided,
             may_queue,
@@ -96,7 +105,14 @@
         let owner = &mut self.owner;
         let random = &mut self.random;
         let owned = GroupShare { group: &group, share: &ColdShare::Owner };
-        let answer = owner.ledger.answer(&mut owner.board, &asking.id, owned, &ask, random, now);
+        let answer = owner.ledger.answer(
+            &mut owner.placement,
+            &asking.id,
+            owned,
+            &slot_request,
+            random,
+            now,
+        );
         self.give_way();
         answer.outcome
     }
@@ -104,10 +120,10 @@
     /// Breaks off items where more work is than slots, those that are due last first.
     fn give_way(&mut self) {
         let now = self.now;
-        let limits = self.owner.ledger.item_limits(&self.owner.board, &group(), now);
+        let limits = self.owner.ledger.item_limits(&self.owner.placement, &group(), now);
         for ItemLimit { host, target, items } in limits {
             let Some(host) = self.hosts.iter().position(|held| held.id == host) else { continue };
-            let target = self.hosts[host].board.by_hash(target).map(|target| target.id.clone());
+            let target = self.hosts[host].placement.by_hash(target).map(|target| target.id.clone());
             let Some(target) = target else { continue };
             let here = self.targets[target_index(&target)].works();
             let mut running: Vec<(Instant, usize)> = here
