--- a/crates/cuminramp-fleet/src/slots/ledger.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger.rs
@@ -1,4 +1,4 @@
-//! What the owner of a group knows and decides.
+//! The owner's view of a group: what hosts have in flight there, and which slots it granted.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -18,73 +18,77 @@
 use account::{GroupAccount, PendingGrant};
 pub use items::{ItemGrant, ItemLimit};
 
-/// A grant that no report confirms after so long was not used: its answer got lost, or came late.
-const GRANT_LIFE: Duration = Duration::from_millis(250);
-/// How long an answer is kept for a question that comes again.
-const ANSWER_LIFE: Duration = Duration::from_millis(250);
-/// Time from the start of an ownership until the owner starts batch items: all hosts report what they have
-/// in flight meanwhile. Without it a new owner would fill slots that callers have.
-const SETTLE: Duration = Duration::from_millis(150);
-/// A group for which no host asks or reports, and which rendezvous does not give to this host, is another
-/// host's after so long.
-const OWNED_FOR: Duration = Duration::from_millis(600);
-/// As many slots stay free of items as callers took in the time before. An item in such a slot would be
-/// broken off within that time, and its prompt read again elsewhere.
-const RESERVE_FOR: Duration = Duration::from_millis(100);
-/// Time from the start of an ownership until the owner hands out the rate of cold targets: the host before
-/// it is asked for up to a second more, and what that hands out is counted for another one.
-const WARM_AFTER: Duration = Duration::from_millis(2_200);
+/// Time after which a grant that no report confirms is dropped: its response was lost or came too late, so
+/// the host did not use the slot.
+const GRANT_TTL: Duration = Duration::from_millis(250);
+/// Time for which a response is cached, so that a repeated request gets the same one.
+const RESPONSE_TTL: Duration = Duration::from_millis(250);
+/// Time after the start of an ownership during which the owner grants no slots to batch items, while all
+/// hosts report what they have in flight. Without it, a new owner would fill slots that callers occupy.
+const SETTLE_DELAY: Duration = Duration::from_millis(150);
+/// Time after which this host no longer counts as the owner of a group, if it receives no slot request or
+/// report for the group and rendezvous hashing does not select it.
+const OWNERSHIP_TTL: Duration = Duration::from_millis(600);
+/// Window for the slots that are reserved for callers: as many as were granted to callers within it. An item
+/// in a reserved slot would be preempted within about the same time, and another target would have to
+/// process its prompt again.
+const RESERVE_WINDOW: Duration = Duration::from_millis(100);
+/// Time after the start of an ownership until the owner hands out the rate of cold targets. Hosts may send
+/// slot requests to the previous owner for up to a second longer, and its grants count against the rate for
+/// one more second.
+const COLD_TARGET_DELAY: Duration = Duration::from_millis(2_200);
 
-/// A group, and what this host may hand out of the rate of its cold targets.
+/// A group with the share of its cold targets' rate that this host may hand out.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupShare<'a> {
     /// The group.
     pub group: &'a SlotGroup,
-    /// The share.
+    /// The share of the rate.
     pub share: &'a ColdShare,
 }
 
 #[derive(Debug)]
-struct KeptResponse {
+struct CachedResponse {
     host: HostId,
     response: SlotResponse,
-    at: Instant,
+    cached_at: Instant,
 }
 
 /// A group that this host owns.
 #[derive(Debug)]
 struct OwnedGroup {
     since: Instant,
-    noted: Instant,
-    /// When callers got slots lately.
-    callers: VecDeque<Instant>,
+    renewed_at: Instant,
+    /// Times of recent grants to callers, oldest first.
+    caller_grants: VecDeque<Instant>,
 }
 
 impl OwnedGroup {
-    /// Slots that callers will take soon, as far as the last ones tell.
-    fn reserve(&mut self, now: Instant) -> u32 {
-        while self.callers.front().is_some_and(|at| now.duration_since(*at) > RESERVE_FOR) {
-            self.callers.pop_front();
+    /// Returns the number of slots to keep free of items, since callers will probably need them soon.
+    fn reserved_slots(&mut self, now: Instant) -> u32 {
+        while self.caller_grants.front().is_some_and(|at| now.duration_since(*at) > RESERVE_WINDOW)
+        {
+            self.caller_grants.pop_front();
         }
-        self.callers.len() as u32
+        self.caller_grants.len() as u32
     }
 }
 
-/// What hosts have in flight at the groups that this host owns, and what it granted them.
+/// Records what hosts have in flight in the groups that this host owns, and the slots granted to them.
 #[derive(Debug)]
 pub struct SlotLedger {
     me: HostId,
     accounts: SortedMap<(HostId, u32), GroupAccount>,
     owned: SortedMap<u32, OwnedGroup>,
-    responses: Vec<KeptResponse>,
-    /// What hosts were asked lately to keep at targets.
+    responses: Vec<CachedResponse>,
+    /// Item limits sent recently, with the time of sending, by host and target.
     limits_sent: SortedMap<(HostId, u32), (u16, Instant)>,
     last_grant: u64,
 }
 
 impl SlotLedger {
-    /// Knows nothing yet. Grants are numbered from the run's number on, so that those of a later run
-    /// of this host have higher ones.
+    /// Creates an empty ledger. Grant numbers start from the host's incarnation, so that a later run of
+    /// the host issues higher ones.
     pub fn new(me: HostId) -> Self {
         let last_grant = me.incarnation;
         SlotLedger {
@@ -97,7 +101,8 @@
         }
     }
 
-    /// Forgets everything, as after a pause in which other hosts had another owner.
+    /// Clears all accounts, ownerships and cached responses after a pause of this process, during which
+    /// other hosts may have used another owner.
     pub fn reset(&mut self, placement: &mut PlacementTable) {
         let accounts = std::mem::take(&mut self.accounts);
         accounts.keys().for_each(|(host, _)| placement.forget_host(host));
@@ -105,28 +110,31 @@
         self.responses.clear();
     }
 
-    /// Takes note that this host owns a group, or answers for it.
+    /// Records that this host owns a group or responds to requests for it, and renews the ownership.
     pub fn record_ownership(&mut self, group: u32, now: Instant) {
-        let fresh = || OwnedGroup { since: now, noted: now, callers: VecDeque::new() };
-        self.owned.get_or_insert_with(group, fresh).noted = now;
+        let new = || OwnedGroup { since: now, renewed_at: now, caller_grants: VecDeque::new() };
+        self.owned.get_or_insert_with(group, new).renewed_at = now;
     }
 
-    /// Groups that this host owns, or answers for.
+    /// Returns the groups that this host owns or responds for.
     pub fn owned(&self) -> Vec<u32> {
         self.owned.keys().copied().collect()
     }
 
-    /// Whether this host has owned a group for long enough to hand out the rate of cold targets: what the
-    /// owner before handed out is over by then.
+    /// Returns whether this host has owned a group for long enough to hand out the rate of its cold
+    /// targets. By then, the grants of the previous owner no longer count against the rate.
     pub fn may_use_cold_targets(&self, group: u32, now: Instant) -> bool {
-        self.owned.get(&group).is_some_and(|owned| now.duration_since(owned.since) >= WARM_AFTER)
+        self.owned
+            .get(&group)
+            .is_some_and(|owned| now.duration_since(owned.since) >= COLD_TARGET_DELAY)
     }
 
     fn is_settled(&self, group: u32, now: Instant) -> bool {
-        self.owned.get(&group).is_some_and(|times| now.duration_since(times.since) >= SETTLE)
+        self.owned.get(&group).is_some_and(|owned| now.duration_since(owned.since) >= SETTLE_DELAY)
     }
 
-    /// Takes a report; `false` if it is older than what is known.
+    /// Applies a host's report. Returns `false` if a report with the same or a higher sequence number was
+    /// applied before.
     pub fn receive_report(
         &mut self,
         placement: &mut PlacementTable,
@@ -143,18 +151,19 @@
         account.sequence = report.sequence;
         account.last_report_at = Some(now);
         account.pending.retain(|grant| grant.number > report.acknowledged_grant);
-        let told = report.reported_loads.clone();
+        let reported_loads = report.reported_loads.clone();
         account.report = Some(report);
         self.update_placement(placement, host, now);
-        placement.receive_reported_loads(&told, now);
+        placement.receive_reported_loads(&reported_loads, now);
         true
     }
 
-    /// Counts what a host has in flight anew, over all its groups.
+    /// Replaces a host's loads in the placement table by their sums over all its groups, and its outcomes
+    /// by those of all its groups.
     fn update_placement(&self, placement: &mut PlacementTable, host: &HostId, now: Instant) {
         let mut loads: SortedMap<u32, TargetLoad> = SortedMap::new();
         let mut outcomes = Vec::new();
-        for (_, account) in self.accounts.iter().filter(|((of, _), _)| of == host) {
+        for (_, account) in self.accounts.iter().filter(|((reporter, _), _)| reporter == host) {
             for load in account.loads() {
                 let none = TargetLoad { online: 0, batch: 0, ..*load };
                 let sum = loads.get_or_insert_with(load.target, || none);
@@ -178,17 +187,17 @@
         self.last_grant += 1;
         let number = self.last_grant;
         if *host == self.me {
-            // The board counts this host's own work as it begins.
+            // The placement table counts this host's own work when it begins.
             return number;
         }
         let account = self.accounts.get_or_insert_with((host.clone(), group), Default::default);
-        account.pending.push(PendingGrant { number, load, at: now });
+        account.pending.push(PendingGrant { number, load, granted_at: now });
         self.update_placement(placement, host, now);
         number
     }
 
-    /// Answers a question. The same question again gets the same answer: its first answer got lost, and
-    /// a second slot would stand empty.
+    /// Responds to a slot request. A repeated request gets the same response: the first one was lost, and a
+    /// second granted slot would stay unused.
     pub fn answer(
         &mut self,
         placement: &mut PlacementTable,
@@ -199,13 +208,13 @@
         now: Instant,
     ) -> SlotResponse {
         self.record_ownership(request.group, now);
-        self.responses.retain(|kept| now.duration_since(kept.at) < ANSWER_LIFE);
-        let before = self
+        self.responses.retain(|cached| now.duration_since(cached.cached_at) < RESPONSE_TTL);
+        let cached = self
             .responses
             .iter()
-            .find(|kept| kept.response.request == request.request && kept.host == *host);
-        if let Some(before) = before {
-            return before.response;
+            .find(|cached| cached.response.request == request.request && cached.host == *host);
+        if let Some(cached) = cached {
+            return cached.response;
         }
         let GroupShare { group, share } = owned;
         let group_request =
@@ -214,7 +223,7 @@
             GroupPlacement::Slot(target) => {
                 let load = TargetLoad { target, online: 1, batch: 0 };
                 if let Some(owned) = self.owned.get_mut(&request.group) {
-                    owned.callers.push_back(now);
+                    owned.caller_grants.push_back(now);
                 }
                 placement.record_sends(target, 1, now);
                 let grant = self.grant(placement, host, request.group, load, now);
@@ -224,27 +233,27 @@
             GroupPlacement::Empty => SlotOutcome::Empty,
         };
         let response = SlotResponse { request: request.request, outcome };
-        self.responses.push(KeptResponse { host: host.clone(), response, at: now });
+        self.responses.push(CachedResponse { host: host.clone(), response, cached_at: now });
         response
     }
 
-    /// Drops grants that were not used and hosts that fell silent.
+    /// Drops unused grants, accounts of silent hosts, and ownerships that were not renewed.
     pub fn expire(&mut self, placement: &mut PlacementTable, now: Instant) {
         placement.fade_orphaned(now);
         let mut changed: Vec<HostId> = Vec::new();
         self.accounts.retain(|(host, _), account| {
-            let pending = account.pending.len();
-            account.pending.retain(|grant| now.duration_since(grant.at) < GRANT_LIFE);
+            let pending_before = account.pending.len();
+            account.pending.retain(|grant| now.duration_since(grant.granted_at) < GRANT_TTL);
             let is_alive = account.is_alive(now);
-            if !is_alive || account.pending.len() != pending {
+            if !is_alive || account.pending.len() != pending_before {
                 changed.push(host.clone());
             }
             is_alive
         });
-        self.owned.retain(|_, times| now.duration_since(times.noted) < OWNED_FOR);
+        self.owned.retain(|_, owned| now.duration_since(owned.renewed_at) < OWNERSHIP_TTL);
         changed.dedup();
         for host in changed {
-            if self.accounts.keys().any(|(of, _)| *of == host) {
+            if self.accounts.keys().any(|(reporter, _)| *reporter == host) {
                 self.update_placement(placement, &host, now);
             } else {
                 placement.forget_host(&host);
@@ -252,9 +261,10 @@
         }
     }
 
-    /// What a host holds at a target in this ledger.
+    /// Returns how much work a host has in flight at a target according to this ledger, pending grants
+    /// included.
     #[cfg(test)]
-    pub(super) fn held(&self, host: &HostId, group: u32, target: u32, kind: WorkKind) -> u32 {
+    pub(super) fn in_flight(&self, host: &HostId, group: u32, target: u32, kind: WorkKind) -> u32 {
         let Some(account) = self.accounts.get(&(host.clone(), group)) else { return 0 };
         let here = account.loads().filter(|load| load.target == target);
         here.map(|load| match kind {
--- a/crates/cuminramp-fleet/src/slots/ledger/items.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger/items.rs
@@ -1,4 +1,4 @@
-//! Which batch items get free slots, and which leave for callers.
+//! Grants of free slots to batch items, and preemption of items by callers.
 
 use std::time::Duration;
 
@@ -11,38 +11,42 @@
 use crate::placement::{ColdShare, PlacementTable};
 use crate::slots::SlotGroup;
 
-/// An item leaves a target within a few milliseconds of being asked to, and its host reports it.
-const REPEAT_LIMIT: Duration = Duration::from_millis(15);
-/// Grants of items in one round, so that an owner does not stop for a burst of jobs.
-const MOST_ITEM_GRANTS: usize = 64;
+/// Interval after which an unchanged item limit is sent again, in case the message was lost. Preempting an
+/// item and reporting it takes its host a few milliseconds.
+const RESEND_INTERVAL: Duration = Duration::from_millis(15);
+/// Maximum number of item grants in one round, each for one host at one target, so that a burst of jobs does
+/// not block the owner.
+const MAX_ITEM_GRANTS: usize = 64;
 
-/// Slots for batch items of a host.
+/// A grant of slots at a target to batch items of a host.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ItemGrant {
-    /// The host that may start them.
+    /// The host that may start items.
     pub host: HostId,
     /// The target.
     pub target: u32,
-    /// How many.
+    /// Number of slots.
     pub items: u16,
     /// The number of the grant.
     pub grant: u64,
 }
 
-/// How many batch items a host may keep at a target.
+/// Maximum number of batch items that a host may keep at a target; the rest are preempted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ItemLimit {
-    /// The host that has items there.
+    /// The host with items at the target.
     pub host: HostId,
     /// The target.
     pub target: u32,
-    /// How many may stay.
+    /// Number of items that may stay.
     pub items: u16,
 }
 
 impl SlotLedger {
-    /// Hands free slots of a group to waiting items, the most urgent of all hosts first. `own` are the
-    /// items that wait at this host.
+    /// Grants free slots of a group to waiting items, the most urgent of all hosts first. `own` describes
+    /// the items that wait at this host.
+    ///
+    /// Returns no grants while this host has owned the group for less than the settle delay.
     pub fn grant_items(
         &mut self,
         placement: &mut PlacementTable,
@@ -57,27 +61,27 @@
             return grants;
         }
         let mut demands = vec![(self.me.clone(), own)];
-        let told =
-            self.accounts.iter().filter(|((_, of), account)| *of == hash && account.is_alive(now));
-        demands.extend(told.map(|((host, _), account)| (host.clone(), account.demand())));
+        let reported =
+            self.accounts.iter().filter(|((_, id), account)| *id == hash && account.is_alive(now));
+        demands.extend(reported.map(|((host, _), account)| (host.clone(), account.unmet_demand())));
         demands.retain(|(_, waiting)| !waiting.is_empty());
         if demands.is_empty() {
             return grants;
         }
         let mut free = placement.free_for_items(group, share, now);
-        let reserve = self.owned.get_mut(&hash).map_or(0, |owned| owned.reserve(now));
-        let room = free.iter().map(|(_, slots)| slots).sum::<u32>().saturating_sub(reserve);
-        let mut shares = allocate_slots(room, &demands);
+        let reserved = self.owned.get_mut(&hash).map_or(0, |owned| owned.reserved_slots(now));
+        let capacity = free.iter().map(|(_, slots)| slots).sum::<u32>().saturating_sub(reserved);
+        let mut shares = allocate_slots(capacity, &demands);
         for (host, share) in &mut shares {
-            while *share > 0 && grants.len() < MOST_ITEM_GRANTS {
+            while *share > 0 && grants.len() < MAX_ITEM_GRANTS {
                 let account = self.accounts.get(&(host.clone(), hash));
-                let turn = self.last_grant as u32 ^ grants.len() as u32;
+                let round = self.last_grant as u32 ^ grants.len() as u32;
                 let best = free
                     .iter_mut()
                     .filter(|(target, slots)| {
                         *slots > 0 && !account.is_some_and(|account| account.avoids(*target))
                     })
-                    .max_by_key(|(target, slots)| (*slots, mix(*target, turn)));
+                    .max_by_key(|(target, slots)| (*slots, tie_break(*target, round)));
                 let Some((target, slots)) = best else { break };
                 *slots -= 1;
                 *share -= 1;
@@ -92,43 +96,44 @@
         grants
     }
 
-    /// Batch items that have to leave targets of a group which hold more work than slots. An item that
-    /// this host has goes first: it is gone before any message. What was asked of a host is asked again
-    /// only after a moment, in case the message got lost.
+    /// Returns limits that preempt batch items at targets of a group with more work than slots.
+    ///
+    /// Items of this host are preempted first, since that takes no message. An unchanged limit of another
+    /// host is returned again only after a short interval, in case the message was lost.
     pub fn item_limits(
         &mut self,
         placement: &PlacementTable,
         group: &SlotGroup,
         now: Instant,
     ) -> Vec<ItemLimit> {
-        let mut limits = self.find_limits(placement, group);
-        self.limits_sent.retain(|_, (_, at)| now.duration_since(*at) < REPEAT_LIMIT);
+        let mut limits = self.compute_limits(placement, group);
+        self.limits_sent.retain(|_, (_, at)| now.duration_since(*at) < RESEND_INTERVAL);
         limits.retain(|limit| {
             let key = (limit.host.clone(), limit.target);
             let sent = self.limits_sent.get(&key);
-            let is_new = sent.is_none_or(|(items, _)| *items != limit.items);
-            if is_new {
+            let is_due = sent.is_none_or(|(items, _)| *items != limit.items);
+            if is_due {
                 self.limits_sent.insert(key, (limit.items, now));
             }
-            is_new || limit.host == self.me
+            is_due || limit.host == self.me
         });
         limits
     }
 
-    fn find_limits(&self, placement: &PlacementTable, group: &SlotGroup) -> Vec<ItemLimit> {
+    fn compute_limits(&self, placement: &PlacementTable, group: &SlotGroup) -> Vec<ItemLimit> {
         let hash = group.hash();
         let mut limits = Vec::new();
-        for (target, over, own_items) in placement.overfull(group) {
-            let mut over = over;
+        for (target, excess, own_items) in placement.overfull(group) {
+            let mut excess = excess;
             let own = (own_items > 0).then(|| (self.me.clone(), own_items));
-            let others = self.accounts.iter().filter(|((_, of), _)| *of == hash);
+            let others = self.accounts.iter().filter(|((_, id), _)| *id == hash);
             let others =
                 others.map(|((host, _), account)| (host.clone(), account.items_at(target)));
             for (host, items) in own.into_iter().chain(others) {
-                let leaving = items.min(over);
-                if leaving > 0 {
-                    over -= leaving;
-                    let items = (items - leaving) as u16;
+                let preempted = items.min(excess);
+                if preempted > 0 {
+                    excess -= preempted;
+                    let items = (items - preempted) as u16;
                     limits.push(ItemLimit { host, target, items });
                 }
             }
@@ -137,17 +142,18 @@
     }
 }
 
-/// An order of targets that differs from turn to turn: where all are equally free, the last by name would
-/// get most items.
-fn mix(target: u32, turn: u32) -> u32 {
-    /// Odd, with its bits spread, so that each turn gives another order.
-    const SPREAD: u32 = 0x9E37_79B1;
-    (target ^ turn.wrapping_mul(SPREAD)).wrapping_mul(SPREAD)
+/// Returns the rank of a target among targets with equally many free slots. The order differs from round to
+/// round; with a fixed one, the same target would always come first and get most items.
+fn tie_break(target: u32, round: u32) -> u32 {
+    /// Multiplier of a multiplicative hash: odd, with its bits spread, so that each round gives another order.
+    const MULTIPLIER: u32 = 0x9E37_79B1;
+    (target ^ round.wrapping_mul(MULTIPLIER)).wrapping_mul(MULTIPLIER)
 }
 
+/// Adds one item to the host's grant at a target, or adds a new grant.
 fn add_item(grants: &mut Vec<ItemGrant>, host: &HostId, target: u32) {
-    let same = grants.iter_mut().find(|grant| grant.host == *host && grant.target == target);
-    match same {
+    let existing = grants.iter_mut().find(|grant| grant.host == *host && grant.target == target);
+    match existing {
         Some(grant) => grant.items += 1,
         None => grants.push(ItemGrant { host: host.clone(), target, items: 1, grant: 0 }),
     }
--- a/crates/cuminramp-fleet/src/slots/tests.rs
+++ b/crates/cuminramp-fleet/src/slots/tests.rs
@@ -116,7 +116,7 @@
     }
 
     fn online(&self, from: &str, id: &str) -> u32 {
-        self.ledger.held(&host(from), group().hash(), name_hash(id), WorkKind::Online)
+        self.ledger.in_flight(&host(from), group().hash(), name_hash(id), WorkKind::Online)
     }
 }
 
