--- a/crates/cuminramp-fleet/src/slots/owners.rs
+++ b/crates/cuminramp-fleet/src/slots/owners.rs
@@ -1,4 +1,4 @@
-//! Which host owns a group of targets.
+//! Selection of the host that owns a group of targets.
 
 use std::time::Duration;
 
@@ -8,66 +8,76 @@
 use super::message::SlotGroup;
 use crate::peers::PeerTable;
 
-/// How long an owner that did not answer is passed over, and the longest such time: a host that is
-/// slow again and again would otherwise hold up requests twice a second.
-const PASS_OVER: Duration = Duration::from_millis(700);
-const LONGEST_PASS_OVER: Duration = Duration::from_secs(8);
-/// A host that has answered for so long since it was passed over begins with the shortest time again.
-const FORGIVE_AFTER: Duration = Duration::from_secs(10);
+/// Time for which an owner that did not respond is excluded at first. It doubles with each further
+/// exclusion: a host that is slow again and again would otherwise delay requests twice a second.
+const MIN_EXCLUSION: Duration = Duration::from_millis(700);
+/// Maximum time for which an owner is excluded.
+const MAX_EXCLUSION: Duration = Duration::from_secs(8);
+/// Time without a new exclusion, counted from the end of the last one, after which a host's next exclusion
+/// lasts [`MIN_EXCLUSION`] again.
+const EXCLUSION_RESET_DELAY: Duration = Duration::from_secs(10);
 
-/// Claims of other hosts about the same owner that are further apart than this are not counted together.
-const CLAIM_LIFE: Duration = Duration::from_millis(500);
-/// An owner chosen so lately is not chosen anew: hosts ask a hundred times a second.
-const CHOICE_LIFE: Duration = Duration::from_millis(10);
+/// Time for which an owner failure report counts: reports about the same owner that are further apart do not
+/// add up.
+const FAILURE_REPORT_TTL: Duration = Duration::from_millis(500);
+/// Time for which the selected owner of a group is cached: hosts look it up a hundred times a second.
+const SELECTION_TTL: Duration = Duration::from_millis(10);
 
 #[derive(Clone, Copy, Debug)]
-struct Silence {
+struct Exclusion {
     until: Instant,
-    repeats: u32,
+    count: u32,
 }
 
-/// Owners that were found silent lately, by this host or another.
+/// Selects the owner of each group, and excludes owners that this host or others found silent recently.
 #[derive(Debug, Default)]
 pub struct OwnerTable {
-    silences: SortedMap<HostId, Silence>,
-    failures: SortedMap<HostId, (Name, Instant)>,
-    choices: SortedMap<SlotGroup, (Option<HostId>, Instant)>,
+    exclusions: SortedMap<HostId, Exclusion>,
+    /// Latest uncorroborated failure report about each owner: the reporting host's address, and the time.
+    failure_reports: SortedMap<HostId, (Name, Instant)>,
+    /// Cached owner of each group, with the time of its selection.
+    selections: SortedMap<SlotGroup, (Option<HostId>, Instant)>,
 }
 
 impl OwnerTable {
-    /// Passes a host over for a while; says whether it was not passed over already.
+    /// Excludes a host from ownership for a while. Returns `false` if it is excluded already.
     pub fn exclude(&mut self, host: &HostId, now: Instant) -> bool {
-        self.silences.retain(|_, silence| silence.until + FORGIVE_AFTER > now);
-        let fresh = Silence { until: now, repeats: 0 };
-        let silence = self.silences.get_or_insert_with(host.clone(), || fresh);
-        if silence.until > now {
+        self.exclusions.retain(|_, exclusion| exclusion.until + EXCLUSION_RESET_DELAY > now);
+        let new = Exclusion { until: now, count: 0 };
+        let exclusion = self.exclusions.get_or_insert_with(host.clone(), || new);
+        if exclusion.until > now {
             return false;
         }
-        let pause = PASS_OVER * (1 << silence.repeats.min(4));
-        silence.repeats += 1;
-        silence.until = now + pause.min(LONGEST_PASS_OVER);
-        self.choices = SortedMap::new();
+        let duration = MIN_EXCLUSION * (1 << exclusion.count.min(4));
+        exclusion.count += 1;
+        exclusion.until = now + duration.min(MAX_EXCLUSION);
+        self.selections = SortedMap::new();
         true
     }
 
-    /// Takes the claim of another host that an owner is silent; says whether it is passed over now and was
-    /// not before. It takes two hosts: one alone may itself be slow or cut off.
+    /// Processes an owner failure report from another host. Returns whether it newly excludes the owner.
+    ///
+    /// An owner is excluded once two hosts have reported it: a single one may itself be slow or cut off.
     pub fn receive_failure(&mut self, from: &Name, failed: &HostId, now: Instant) -> bool {
-        self.failures.retain(|_, (_, at)| now.duration_since(*at) < CLAIM_LIFE);
-        let first = self.failures.get(failed).is_none_or(|(by, _)| by == from);
-        if first {
-            self.failures.insert(failed.clone(), (from.clone(), now));
+        self.failure_reports.retain(|_, (_, at)| now.duration_since(*at) < FAILURE_REPORT_TTL);
+        let is_only_reporter =
+            self.failure_reports.get(failed).is_none_or(|(reporter, _)| reporter == from);
+        if is_only_reporter {
+            self.failure_reports.insert(failed.clone(), (from.clone(), now));
             return false;
         }
         self.exclude(failed, now)
     }
 
     fn is_excluded(&self, host: &HostId, now: Instant) -> bool {
-        self.silences.get(host).is_some_and(|silence| silence.until > now)
+        self.exclusions.get(host).is_some_and(|exclusion| exclusion.until > now)
     }
 
-    /// The owner of a group: drawn by rendezvous among the live hosts of the group's zone, or among
-    /// all where the zone has none. `None` where nobody may own it, not even this host.
+    /// Returns the owner of a group, selected by rendezvous hashing among the live hosts of the group's
+    /// zone, or among all live hosts if the zone has none. Returns `None` if no host may own the group, not
+    /// even this one.
+    ///
+    /// `is_me_ready` is whether this host takes requests, so that it may own groups itself.
     pub fn owner(
         &mut self,
         group: &SlotGroup,
@@ -75,17 +85,17 @@
         is_me_ready: bool,
         now: Instant,
     ) -> Option<HostId> {
-        if let Some((owner, at)) = self.choices.get(group)
-            && now.duration_since(*at) < CHOICE_LIFE
+        if let Some((owner, at)) = self.selections.get(group)
+            && now.duration_since(*at) < SELECTION_TTL
         {
             return owner.clone();
         }
-        let owner = self.choose(group, peers, is_me_ready, now);
-        self.choices.insert(group.clone(), (owner.clone(), now));
+        let owner = self.select(group, peers, is_me_ready, now);
+        self.selections.insert(group.clone(), (owner.clone(), now));
         owner
     }
 
-    fn choose(
+    fn select(
         &self,
         group: &SlotGroup,
         peers: &PeerTable,
@@ -93,11 +103,11 @@
         now: Instant,
     ) -> Option<HostId> {
         let live = peers.live(is_me_ready, now);
-        let able = live.iter().filter(|(id, _)| !self.is_excluded(id, now));
+        let candidates = live.iter().filter(|(id, _)| !self.is_excluded(id, now));
         let key = group.key();
-        let ranked = able.map(|(id, zone)| {
-            let is_near = **zone == group.zone;
-            ((is_near, rendezvous_score(&key, &id.address)), id)
+        let ranked = candidates.map(|(id, zone)| {
+            let is_in_zone = **zone == group.zone;
+            ((is_in_zone, rendezvous_score(&key, &id.address)), id)
         });
         ranked.max_by_key(|(rank, _)| *rank).map(|(_, id)| id.clone())
     }
