--- a/crates/cuminramp-fleet/src/slots/search.rs
+++ b/crates/cuminramp-fleet/src/slots/search.rs
@@ -1,4 +1,4 @@
-//! The search of one request for a slot.
+//! Search for a slot on behalf of one request.
 
 use std::time::Duration;
 
@@ -6,74 +6,78 @@
 
 use super::message::{SlotGroup, SlotOutcome};
 
-/// Groups of other zones that are asked. With seven regions more would take longer than the queue of
-/// a target.
-const MOST_OTHER_GROUPS: usize = 4;
-/// Sends of one request that may fail in a zone before other zones are asked first.
-const MOST_FAILURES_IN_ZONE: usize = 2;
-/// The shortest and longest time after which a refused request is asked back.
-const RETURN_BOUNDS: (f64, f64) = (0.25, 1.6);
+/// Maximum number of groups asked in addition to the first one, mostly that of the caller's zone. With seven
+/// regions, asking more would take longer than waiting in a target's queue.
+const MAX_OTHER_GROUPS: usize = 4;
+/// Number of a request's sends that fail in one zone after which the other zones are asked first.
+const ZONE_FAILURE_LIMIT: usize = 2;
+/// Minimum and maximum delay, in seconds, after which a refused request should be retried.
+const RETRY_AFTER_RANGE_S: (f64, f64) = (0.25, 1.6);
 
-/// What to do next for a request.
+/// Next step in the search for a request's slot.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SearchStep {
-    /// Ask the owner of this group.
+    /// Send a slot request to the owner of this group.
     Ask {
         /// The group.
         group: SlotGroup,
-        /// Whether a place in a queue will do.
+        /// Whether the request accepts a place in a target's queue.
         may_queue: bool,
     },
-    /// It would wait too long everywhere; there may be room after this time.
+    /// Refuse the request, which would wait too long at every target. A slot may be free after this time.
     Refuse(Duration),
-    /// No group has a target that takes work.
+    /// No group has a target that accepts work.
     Nowhere,
 }
 
-/// How long a request may wait for a slot.
+/// Limits of the wait of a request for a slot.
 #[derive(Clone, Copy, Debug)]
 pub struct SearchLimits {
-    /// The longest wait at a target with which it is still in time.
+    /// Maximum wait at a target with which the request still meets its objective.
     pub max_wait: Duration,
-    /// Whether it was refused before: it is not refused twice while it can be answered at all.
+    /// Whether the request was refused before. A retry queues for any wait instead of being refused again.
     pub is_retry: bool,
 }
 
-/// Asks the groups of a pool, the caller's own zone first. A slot in another zone is worth more than a
-/// place in a queue, and costs two messages between zones.
+/// Searches the groups of a pool for a slot, the group of the caller's zone first. A free slot in another
+/// zone is preferred to a place in a queue, although it costs two messages between zones.
 #[derive(Debug)]
 pub struct SlotSearch {
-    left: Vec<SlotGroup>,
+    /// Groups still to be asked, the next one last.
+    remaining: Vec<SlotGroup>,
+    /// The group that was asked last, until its response is received.
     asked: Option<SlotGroup>,
+    /// The shortest wait found, and the group where it was found.
     shortest: Option<(Duration, SlotGroup)>,
     is_queueing: bool,
 }
 
 impl SlotSearch {
-    /// A search over `groups`, of which those in `zone` come first and the others in any order.
+    /// Creates a search over `groups`, with those in `zone` first and the others in random order.
     pub fn new(groups: Vec<SlotGroup>, zone: &str, random: &mut dyn RandomSource) -> Self {
         let drawn = groups.into_iter().map(|group| (random.below(1 << 16), group));
-        let mut left: Vec<(usize, SlotGroup)> = drawn.collect();
-        // Taken from the end.
-        left.sort_by_key(|(draw, group)| (*group.zone == *zone, *draw));
-        let keep_from = left.len().saturating_sub(MOST_OTHER_GROUPS + 1);
-        let left = left.into_iter().skip(keep_from).map(|(_, group)| group).collect();
-        SlotSearch { left, asked: None, shortest: None, is_queueing: false }
+        let mut remaining: Vec<(usize, SlotGroup)> = drawn.collect();
+        // Groups are popped from the end.
+        remaining.sort_by_key(|(draw, group)| (*group.zone == *zone, *draw));
+        let keep_from = remaining.len().saturating_sub(MAX_OTHER_GROUPS + 1);
+        let remaining = remaining.into_iter().skip(keep_from).map(|(_, group)| group).collect();
+        SlotSearch { remaining, asked: None, shortest: None, is_queueing: false }
     }
 
-    /// Asks zones in which a request failed to reach several targets after the others.
+    /// Moves zones in which several sends of the request failed behind the others. `failed` lists the zone
+    /// of each failed send.
     ///
-    /// Where a zone loses its targets at one moment, its owner hears so with the next reports; a request
-    /// that tried target after target there would have no try left for the others.
+    /// When a zone loses all its targets at once, the group's owner learns it only from the next reports. A
+    /// request that tried target after target there would have no attempts left for other zones.
     pub fn after_failures(mut self, failed: &[AvailabilityZone]) -> Self {
         let failures_in =
             |group: &SlotGroup| failed.iter().filter(|zone| **zone == group.zone).count();
-        // Taken from the end.
-        self.left.sort_by_key(|group| failures_in(group) < MOST_FAILURES_IN_ZONE);
+        // Groups are popped from the end.
+        self.remaining.sort_by_key(|group| failures_in(group) < ZONE_FAILURE_LIMIT);
         self
     }
 
-    /// What to do next.
+    /// Returns the next step.
     ///
     /// ```
     /// use std::time::Duration;
@@ -88,13 +92,13 @@
     /// assert_eq!(search.next(limits, &mut random), SearchStep::Ask { group, may_queue: true });
     /// ```
     pub fn next(&mut self, limits: SearchLimits, random: &mut dyn RandomSource) -> SearchStep {
-        if let Some(group) = self.left.pop() {
+        if let Some(group) = self.remaining.pop() {
             self.asked = Some(group.clone());
             return SearchStep::Ask { group, may_queue: false };
         }
         let Some((wait, group)) = self.shortest.take() else { return SearchStep::Nowhere };
         if self.is_queueing {
-            // The queue that was the shortest has no place any more.
+            // The group with the shortest wait did not queue the request.
             return SearchStep::Refuse(retry_after(wait, random));
         }
         if wait <= limits.max_wait || limits.is_retry {
@@ -105,7 +109,7 @@
         SearchStep::Refuse(retry_after(wait, random))
     }
 
-    /// Takes the answer of the group that was asked last.
+    /// Records the response for the group that was asked last.
     pub fn receive(&mut self, outcome: SlotOutcome) {
         let Some(group) = self.asked.take() else { return };
         if let SlotOutcome::Busy { wait_ms } = outcome {
@@ -117,9 +121,10 @@
     }
 }
 
-/// When a refused request should come back: not before there may be room, and not all at one moment.
+/// Returns the delay after which a refused request should be retried: not before a slot may be free, and
+/// random, so that refused requests do not all return at once.
 pub(crate) fn retry_after(wait: Duration, random: &mut dyn RandomSource) -> Duration {
-    let (soonest, latest) = RETURN_BOUNDS;
-    let drawn = soonest + (latest - soonest) * random.fraction();
-    Duration::from_secs_f64(drawn.max(wait.as_secs_f64().min(latest)))
+    let (min, max) = RETRY_AFTER_RANGE_S;
+    let drawn = min + (max - min) * random.fraction();
+    Duration::from_secs_f64(drawn.max(wait.as_secs_f64().min(max)))
 }
