--- a/crates/cuminramp-fleet/src/slots/grants.rs
+++ b/crates/cuminramp-fleet/src/slots/grants.rs
@@ -1,17 +1,18 @@
-//! Which grants of an owner a host has, and which it has told of.
+//! Order of an owner's grants on the receiving host.
 
-/// The numbers of one owner's grants as the host that gets them sees them.
+/// Tracks the numbers of the grants that a host received from one owner and acknowledged to it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct GrantSequence {
-    last: u64,
-    told: u64,
+    last_received: u64,
+    acknowledged: u64,
 }
 
 impl GrantSequence {
-    /// Takes a grant; `false` where it must not be used any more.
+    /// Records a grant. Returns `false` if the grant must not be used any more.
     ///
-    /// A report says that all grants up to the last one are in use or came to nothing. A grant that was
-    /// overtaken on its way arrives after such a report; its slot may be another caller's by then.
+    /// A report tells the owner that every grant up to the acknowledged one is either in use or unused and
+    /// free again. A grant that a later one overtook may arrive after that report, when its slot may already
+    /// have been granted to another caller.
     ///
     /// ```
     /// use cuminramp_fleet::GrantSequence;
@@ -22,13 +23,13 @@
     /// assert!(numbers.accept(3));
     /// ```
     pub fn accept(&mut self, grant: u64) -> bool {
-        self.last = self.last.max(grant);
-        grant > self.told
+        self.last_received = self.last_received.max(grant);
+        grant > self.acknowledged
     }
 
-    /// The number that a report carries now.
+    /// Acknowledges all grants received so far, and returns the number of the last one for the next report.
     pub fn acknowledge(&mut self) -> u64 {
-        self.told = self.last;
-        self.told
+        self.acknowledged = self.last_received;
+        self.acknowledged
     }
 }
