--- a/crates/cuminramp-fleet/src/slots.rs
+++ b/crates/cuminramp-fleet/src/slots.rs
@@ -1,16 +1,17 @@
-//! Slots of targets, handed out by one host for each group of targets.
+//! Slots of targets, granted by one host for each group of targets.
 //!
-//! Targets admit in order of arrival, so a request is in time only where a slot is free when it comes.
-//! Did every host choose by itself, each would need the load of all others at every moment, and the
-//! news that they owe each other would grow with the square of the fleet. So the targets of a pool in
-//! one availability zone form a group, and one live host owns it: it hands out the slots, sees what
-//! came of them, and says which batch items give way. What it knows is soft: hosts report to it what
-//! they have in flight, and to the next owner as soon as they find this one silent.
+//! Targets admit work in order of arrival, so a request is in time only if a slot is free when it arrives.
+//! If every host chose targets by itself, it would need the current load of all other hosts, and the
+//! updates between hosts would grow with the square of the fleet. Therefore the targets of a pool in one
+//! availability zone form a group, which one live host owns. The owner grants the group's slots, collects
+//! the outcomes of the sends, and decides which batch items are preempted. It keeps soft state only: hosts
+//! report to it what they have in flight, and report to the next owner as soon as they find this one silent.
 //!
-//! - [`SlotSearch`] asks the owners of a pool's groups one after the other;
-//! - [`OwnerTable`] says which host owns a group, and which owners were found silent;
-//! - [`SlotLedger`] is what an owner knows and decides;
-//! - [`ReportTimer`] says when a host reports what it has in flight.
+//! - [`SlotSearch`] asks the owners of a pool's groups for a slot, one after the other;
+//! - [`OwnerTable`] selects the owner of each group, and excludes owners that were found silent;
+//! - [`SlotLedger`] records what hosts have in flight in the groups that this host owns, and grants slots;
+//! - [`GrantSequence`] orders the grants that a host receives from an owner;
+//! - [`ReportTimer`] schedules the reports of what a host has in flight.
 
 mod grants;
 mod ledger;
--- a/crates/cuminramp-fleet/src/slots/message.rs
+++ b/crates/cuminramp-fleet/src/slots/message.rs
@@ -1,4 +1,4 @@
-//! What hosts and the owners of groups tell each other.
+//! Messages between hosts and the owners of groups.
 
 use cuminramp_core::{AvailabilityZone, HostId, Incarnation, Name};
 use serde::{Deserialize, Serialize};
@@ -17,7 +17,7 @@
 }
 
 impl SlotGroup {
-    /// The short form of the group in messages.
+    /// Returns the hash that stands for the group in messages.
     ///
     /// ```
     /// use cuminramp_fleet::SlotGroup;
@@ -28,115 +28,119 @@
         name_hash(&self.key())
     }
 
-    /// The text by which owners are ranked.
+    /// Returns the key for selecting the group's owner by rendezvous hashing.
     pub(super) fn key(&self) -> String {
         format!("{}/{}", self.pool, self.zone)
     }
 }
 
-/// What a host has in flight at the targets of a group, told to the owner. Replaces the report before
-/// it, so a lost, repeated or late one does no harm.
+/// Report of a host to a group's owner: what the host has in flight at the group's targets, and which items
+/// wait. Each report replaces the previous one, so lost, repeated or late reports do no harm.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SlotReport {
-    /// The reporting host's run.
+    /// Incarnation of the reporting host.
     pub incarnation: Incarnation,
-    /// Grows with each report of a run; a lower one came late and is dropped.
+    /// Increases with each report of an incarnation. A report without a higher number than the one before is
+    /// late or repeated, and is dropped.
     pub sequence: u64,
-    /// The group, as [`SlotGroup::hash`] gives it.
+    /// The group, as returned by [`SlotGroup::hash`].
     pub group: u32,
-    /// The last grant of the receiver that this host has; earlier ones are in `loads` or were not used.
+    /// The last grant that the host received from the owner. Grants up to it are in `loads` or were not used.
     pub acknowledged_grant: u64,
-    /// What it has in flight; targets with nothing are left out.
+    /// Work in flight at each target; targets without any are left out.
     pub loads: Vec<TargetLoad>,
-    /// What targets said of their load since the last report.
+    /// Loads that targets reported to the host since its last report.
     pub reported_loads: Vec<ReportedLoad>,
-    /// What came of its sends to targets that failed any host lately.
+    /// Outcomes of the host's sends to targets that recently failed requests of any host.
     pub outcomes: Vec<TargetOutcomes>,
-    /// Targets that it sends nothing for a while: they refused it, or can't be reached from it.
+    /// Targets to which the host sends nothing for a while: they refused a request, or it cannot reach them.
     pub avoided: Vec<u32>,
-    /// Batch items that wait for a slot of the pool, the most urgent first.
+    /// Batch items of the host that wait for a slot of the pool, the most urgent first.
     pub demand: Vec<ItemDemand>,
 }
 
-/// A request's question for a slot.
+/// Request to a group's owner for a slot, sent on behalf of one online request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SlotRequest {
-    /// The asking host's run.
+    /// Incarnation of the requesting host.
     pub incarnation: Incarnation,
-    /// Names the question among those of the run; the same one again gets the same answer.
+    /// Number of the slot request, unique within the incarnation. A repeated one keeps its number and gets the
+    /// same response.
     pub request: u64,
-    /// The group.
+    /// The group, as returned by [`SlotGroup::hash`].
     pub group: u32,
-    /// Targets that are no use to the request: it was there, or they can't be reached.
+    /// Targets that the owner must not choose: the request was sent there before, or the host cannot reach
+    /// them.
     pub avoided: Vec<u32>,
-    /// Whether it takes a place in a target's queue where no slot is free.
+    /// Whether the request accepts a place in a target's queue if no slot is free.
     pub may_queue: bool,
 }
 
-/// What an owner says to a question.
+/// Decision of an owner on a slot request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum SlotOutcome {
-    /// The slot is the asking host's; the target, as [`name_hash`] gives it.
+    /// The slot is granted to the requesting host.
     Granted {
-        /// The target.
+        /// The target, as returned by [`name_hash`].
         target: u32,
         /// The number of the grant.
         grant: u64,
     },
-    /// No slot is free, and no batch item can give way; one comes free after about so long.
+    /// No slot is free, and no batch item can be preempted.
     Busy {
-        /// Milliseconds.
+        /// Estimated time until a slot becomes free, in milliseconds.
         wait_ms: u32,
     },
-    /// The group has no target that takes work.
+    /// The group has no target that accepts work.
     Empty,
 }
 
-/// The answer to a question.
+/// Response to a slot request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SlotResponse {
-    /// The question.
+    /// Number of the slot request.
     pub request: u64,
-    /// What the owner decided.
+    /// The owner's decision.
     pub outcome: SlotOutcome,
 }
 
-/// What an owner tells a host to do with its batch items.
+/// Command from an owner to a host about the host's batch items.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum SlotCommand {
     /// Start items at a target.
     Start {
-        /// The group.
+        /// The group, as returned by [`SlotGroup::hash`].
         group: u32,
         /// The number of the grant.
         grant: u64,
-        /// The target.
+        /// The target, as returned by [`name_hash`].
         target: u32,
-        /// How many, at the most.
+        /// Maximum number of items to start.
         items: u16,
     },
-    /// Keep no more items than this at a target: the others give way to callers.
+    /// Limit the items at a target; those beyond the limit are preempted by callers.
     Limit {
-        /// The target.
+        /// The target, as returned by [`name_hash`].
         target: u32,
-        /// How many, at the most.
+        /// Maximum number of items to keep.
         items: u16,
     },
 }
 
-/// Said by the owner that takes the place of a silent one, so that all report to it at once.
+/// Owner failure report: an owner was found silent. Hosts that exclude it then report to the next owner at
+/// once.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OwnerFailure {
-    /// The group.
+    /// The group, as returned by [`SlotGroup::hash`].
     pub group: u32,
-    /// The address of the host that was found silent.
+    /// Address of the silent host.
     pub failed_address: Name,
-    /// Its run.
+    /// Incarnation of the silent host.
     pub failed_incarnation: Incarnation,
 }
 
 impl OwnerFailure {
-    /// The run that was found silent.
+    /// Returns the silent host, with its incarnation.
     pub fn failed_host(&self) -> HostId {
         HostId { address: self.failed_address.clone(), incarnation: self.failed_incarnation }
     }
