--- a/crates/cuminramp-fleet/src/demand.rs
+++ b/crates/cuminramp-fleet/src/demand.rs
@@ -1,9 +1,10 @@
-//! Which hosts' items go first where fewer slots are free than items wait.
+//! Allocation of free slots to the waiting items of hosts, by urgency.
 //!
-//! Each job's items wait at one host, and every host sends its own. Were free slots shared by how many
-//! items wait at each, a job that is due soon would get as little as one that has time, and after an
-//! outage all jobs would be done late instead of most of them in time. So hosts tell the owners of slots
-//! how urgent their items are: those that can still be in time go first, by when they are due.
+//! The items of a job wait at one host, and each host sends its own items. If free slots were shared in
+//! proportion to the items that wait at each host, a job that is due soon would be served no faster than
+//! one with time left, and after an outage all jobs would finish late instead of most of them in time.
+//! Hosts therefore report the urgency of their items to the owners of slots. Items that can still be in
+//! time go first, ordered by due time; late ones follow.
 
 use std::time::Duration;
 
@@ -11,22 +12,22 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// Groups of waiting items that one host tells of: one for each of its jobs in the usual case.
+/// Maximum number of item groups in one host's demand, usually one group per job.
 pub const MAX_DEMAND_GROUPS: usize = 8;
 
-/// Items of one host that are equally urgent, as a heartbeat tells it.
+/// A number of equally urgent items that wait at one host, as a slot report carries it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ItemDemand {
-    /// Whether they can't be done by when they are due any more.
+    /// Whether the items can no longer be finished by their due time.
     pub is_late: bool,
-    /// When they are due, in milliseconds from the heartbeat; negative where that has passed.
+    /// Due time of the items, in milliseconds after the report was made; negative if it has passed.
     pub due_in_ms: i32,
-    /// How many they are.
+    /// Number of items.
     pub items: u32,
 }
 
 impl ItemDemand {
-    /// Items that are due at `due`, told at `now`.
+    /// Creates the demand of `items` items that are due at `due`, as reported at `now`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -39,14 +40,15 @@
     pub fn new(is_late: bool, due: Instant, items: u32, now: Instant) -> Self {
         let millis = |span: Duration| i32::try_from(span.as_millis()).unwrap_or(i32::MAX);
         let due_in_ms = match due.checked_duration_since(now) {
-            Some(left) => millis(left),
+            Some(remaining) => millis(remaining),
             None => -millis(now.saturating_duration_since(due)),
         };
         ItemDemand { is_late, due_in_ms, items }
     }
 }
 
-/// How many of a host's waiting items are among the most urgent ones that `room` slots can take.
+/// Returns how many of `free_slots` slots each host gets, so that the most urgent items of all hosts are
+/// served first.
 ///
 /// ```
 /// use cuminramp_core::HostId;
@@ -57,18 +59,22 @@
 /// let shares = allocate_slots(4, &[(host("a"), vec![later]), (host("b"), vec![soon])]);
 /// assert_eq!(shares, [(host("a"), 1), (host("b"), 3)]);
 /// ```
-pub fn allocate_slots(room: u32, demands: &[(HostId, Vec<ItemDemand>)]) -> Vec<(HostId, u32)> {
+pub fn allocate_slots(
+    free_slots: u32,
+    demands: &[(HostId, Vec<ItemDemand>)],
+) -> Vec<(HostId, u32)> {
     let mut shares: Vec<(HostId, u32)> =
         demands.iter().map(|(host, _)| (host.clone(), 0)).collect();
-    let of_hosts = demands.iter().enumerate();
-    let mut order: Vec<(&ItemDemand, usize)> =
-        of_hosts.flat_map(|(at, (_, told))| told.iter().map(move |demand| (demand, at))).collect();
-    order.sort_by_key(|(demand, at)| (demand.is_late, demand.due_in_ms, &demands[*at].0));
-    let mut left = room;
-    for (demand, at) in order {
-        let taken = demand.items.min(left);
-        shares[at].1 += taken;
-        left -= taken;
+    let by_host = demands.iter().enumerate();
+    let mut order: Vec<(&ItemDemand, usize)> = by_host
+        .flat_map(|(index, (_, groups))| groups.iter().map(move |demand| (demand, index)))
+        .collect();
+    order.sort_by_key(|(demand, index)| (demand.is_late, demand.due_in_ms, &demands[*index].0));
+    let mut remaining = free_slots;
+    for (demand, index) in order {
+        let allocated = demand.items.min(remaining);
+        shares[index].1 += allocated;
+        remaining -= allocated;
     }
     shares
 }
