--- a/crates/cuminramp-fleet/src/slots/ledger/account.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger/account.rs
@@ -26,7 +26,7 @@
     pub(super) sequence: u64,
     pub(super) last_report_at: Option<Instant>,
     pub(super) report: Option<SlotReport>,
-    /// Grants that no report confirms yet, counted as in flight until one does.
+    /// Grants that no report confirms yet; their loads count as in flight.
     pub(super) pending: Vec<PendingGrant>,
 }
 
@@ -49,7 +49,7 @@
         here.map(|load| u32::from(load.batch)).sum()
     }
 
-    /// Returns the reported waiting items, less those that were granted slots since the report.
+    /// Returns the reported waiting items, less the items of pending grants.
     pub(super) fn unmet_demand(&self) -> Vec<ItemDemand> {
         let mut granted: u32 = self.pending.iter().map(|grant| u32::from(grant.load.batch)).sum();
         let reported = self.report.iter().flat_map(|report| &report.demand);
--- a/crates/cuminramp-fleet/src/slots/ledger/items.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger/items.rs
@@ -145,7 +145,7 @@
 /// Returns the rank of a target among targets with equally many free slots. The order differs from round to
 /// round; with a fixed one, the same target would always come first and get most items.
 fn tie_break(target: u32, round: u32) -> u32 {
-    /// Multiplier of a multiplicative hash: odd, with its bits spread, so that each round gives another order.
+    /// Odd, with its bits spread, so that each round gives another order.
     const MULTIPLIER: u32 = 0x9E37_79B1;
     (target ^ round.wrapping_mul(MULTIPLIER)).wrapping_mul(MULTIPLIER)
 }
