--- a/crates/cuminramp-fleet/src/slots.rs
+++ b/crates/cuminramp-fleet/src/slots.rs
@@ -10,7 +10,7 @@
 //! - [`SlotSearch`] asks the owners of a pool's groups for a slot, one after the other;
 //! - [`OwnerTable`] selects the owner of each group, and excludes owners that were found silent;
 //! - [`SlotLedger`] records what hosts have in flight in the groups that this host owns, and grants slots;
-//! - [`GrantSequence`] orders the grants that a host receives from an owner;
+//! - [`GrantSequence`] tracks which grants of an owner a host may still use;
 //! - [`ReportTimer`] schedules the reports of what a host has in flight.
 
 mod grants;
--- a/crates/cuminramp-fleet/src/slots/grants.rs
+++ b/crates/cuminramp-fleet/src/slots/grants.rs
@@ -1,4 +1,4 @@
-//! Order of an owner's grants on the receiving host.
+//! Tracking of an owner's grants on the receiving host.
 
 /// Tracks the numbers of the grants that a host received from one owner and acknowledged to it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -10,7 +10,7 @@
 impl GrantSequence {
     /// Records a grant. Returns `false` if the grant must not be used any more.
     ///
-    /// A report tells the owner that every grant up to the acknowledged one is either in use or unused and
+    /// A report shows the owner that every grant up to the acknowledged one is either in use or unused and
     /// free again. A grant that a later one overtook may arrive after that report, when its slot may already
     /// have been granted to another caller.
     ///
--- a/crates/cuminramp-fleet/src/slots/ledger.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger.rs
@@ -237,7 +237,8 @@
         response
     }
 
-    /// Drops unused grants, accounts of silent hosts, and ownerships that were not renewed.
+    /// Drops unused grants, accounts of silent hosts and ownerships that were not renewed, and lets orphaned
+    /// work decay.
     pub fn expire(&mut self, placement: &mut PlacementTable, now: Instant) {
         placement.fade_orphaned(now);
         let mut changed: Vec<HostId> = Vec::new();
--- a/crates/cuminramp-fleet/src/slots/message.rs
+++ b/crates/cuminramp-fleet/src/slots/message.rs
@@ -64,8 +64,8 @@
 pub struct SlotRequest {
     /// Incarnation of the requesting host.
     pub incarnation: Incarnation,
-    /// Number of the slot request, unique within the incarnation. A repeated one keeps its number and gets the
-    /// same response.
+    /// Number of the slot request, unique within the incarnation. A repeated slot request keeps its number
+    /// and gets the same response.
     pub request: u64,
     /// The group, as returned by [`SlotGroup::hash`].
     pub group: u32,
--- a/crates/cuminramp-fleet/src/slots/search.rs
+++ b/crates/cuminramp-fleet/src/slots/search.rs
@@ -6,8 +6,8 @@
 
 use super::message::{SlotGroup, SlotOutcome};
 
-/// Maximum number of groups asked in addition to the first one, mostly that of the caller's zone. With seven
-/// regions, asking more would take longer than waiting in a target's queue.
+/// Maximum number of groups asked in addition to the first one, usually that of the caller's zone. With
+/// seven regions, asking more would take longer than waiting in a target's queue.
 const MAX_OTHER_GROUPS: usize = 4;
 /// Number of a request's sends that fail in one zone after which the other zones are asked first.
 const ZONE_FAILURE_LIMIT: usize = 2;
