--- a/crates/cuminramp-fleet/src/slots/tests/orphans.rs
+++ b/crates/cuminramp-fleet/src/slots/tests/orphans.rs
@@ -7,56 +7,60 @@
 use crate::heartbeat::{ReportedLoad, name_hash};
 use crate::slots::{SlotOutcome, SlotReport};
 
-fn told(id: &str, busy: u16) -> Vec<ReportedLoad> {
+fn target_load(id: &str, busy: u16) -> Vec<ReportedLoad> {
     vec![ReportedLoad { target: name_hash(id), busy }]
 }
 
-/// All hosts lost power, and a target works on items that nobody waits for. A caller who was sent there
-/// would wait for seconds while another target stands empty.
+/// Guards against callers that wait for seconds behind orphaned items while another target is empty. All
+/// hosts lost power, and the target continues with items that nobody waits for.
 #[tokio::test(start_paused = true)]
-async fn a_target_that_works_for_hosts_that_are_gone_gets_no_callers() {
+async fn a_target_full_of_orphaned_work_gets_no_callers() {
     let mut owner = Owner::new(&["e1", "e2"]);
-    owner.hear("a", SlotReport { reported_loads: told("e1", 8), ..report(1, vec![]) });
+    owner.receive("a", SlotReport { reported_loads: target_load("e1", 8), ..report(1, vec![]) });
 
-    let chosen: Vec<u32> = (0..8).map(|_| owner.granted("b").0).collect();
-    let beyond = owner.ask("b", false);
+    let chosen: Vec<u32> = (0..8).map(|_| owner.grant("b").0).collect();
+    let beyond = owner.request_slot("b", false);
 
     assert_eq!(chosen, [name_hash("e2"); 8]);
     assert!(matches!(beyond, SlotOutcome::Busy { .. }), "{beyond:?}");
 }
 
-/// Items take seconds where callers' requests take less than one. A caller who was told to wait as for
-/// those would hear late; the wait that is told is too long for an objective of 300 ms.
+/// Guards against a wait that is estimated from the duration of online requests, less than a second, while
+/// orphaned items take seconds: the caller would be served late. The estimate must exceed 180 ms, the part of
+/// an objective of 300 ms that waiting may use up.
 #[tokio::test(start_paused = true)]
-async fn the_wait_behind_work_of_hosts_that_are_gone_is_told_as_long_as_it_is() {
+async fn the_estimated_wait_includes_orphaned_work() {
     let mut owner = Owner::new(&["e1"]);
-    owner.hear("a", SlotReport { reported_loads: told("e1", 8), ..report(1, vec![]) });
+    owner.receive("a", SlotReport { reported_loads: target_load("e1", 8), ..report(1, vec![]) });
 
-    let SlotOutcome::Busy { wait_ms } = owner.ask("b", false) else { panic!("a slot was granted") };
+    let SlotOutcome::Busy { wait_ms } = owner.request_slot("b", false) else {
+        panic!("a slot was granted")
+    };
 
     assert!(wait_ms > 180, "{wait_ms}");
 }
 
-/// A target tells its load, and what it tells of ends while the answer is on its way. Taken for work of
-/// hosts that are gone, it would leave slots empty at every crest.
+/// Guards against slots that stay empty at every burst. Work that a target reports in its load may end while
+/// the response is under way; it must not count as orphaned.
 #[test_case(8, 0; "as much as was in flight")]
 #[test_case(9, 0; "one more, which is not reported yet")]
 #[tokio::test(start_paused = true)]
-async fn what_was_in_flight_a_moment_ago_is_not_foreign(busy: u16, taken: u32) {
+async fn work_that_was_in_flight_recently_is_not_orphaned(busy: u16, occupied: u32) {
     let mut owner = Owner::new(&["e1"]);
-    owner.hear("a", report(1, vec![load("e1", 8, 0)]));
+    owner.receive("a", report(1, vec![load("e1", 8, 0)]));
     advance(Duration::from_millis(100)).await;
 
-    owner.hear("a", SlotReport { reported_loads: told("e1", busy), ..report(2, vec![]) });
+    owner.receive("a", SlotReport { reported_loads: target_load("e1", busy), ..report(2, vec![]) });
 
-    assert_eq!(owner.placement.occupancy("p"), (taken, 8));
+    assert_eq!(owner.placement.occupancy("p"), (occupied, 8));
 }
 
-/// The target ends the work and nobody tells, since nothing is sent there. It has to come back by itself.
+/// Guards against a target that is never used again: it finishes its orphaned work, but reports no new load
+/// since nothing is sent there. The count of orphaned work has to decay with time.
 #[tokio::test(start_paused = true)]
-async fn work_of_hosts_that_are_gone_is_forgotten_slot_by_slot() {
+async fn orphaned_work_decays_slot_by_slot() {
     let mut owner = Owner::new(&["e1"]);
-    owner.hear("a", SlotReport { reported_loads: told("e1", 8), ..report(1, vec![]) });
+    owner.receive("a", SlotReport { reported_loads: target_load("e1", 8), ..report(1, vec![]) });
 
     advance(Duration::from_millis(1_010)).await;
     owner.ledger.expire(&mut owner.placement, Instant::now());
--- a/crates/cuminramp-fleet/src/slots/tests/owners.rs
+++ b/crates/cuminramp-fleet/src/slots/tests/owners.rs
@@ -21,9 +21,9 @@
     owners.owner(&group(), peers, true, Instant::now())
 }
 
-/// Two hosts that disagree on the owner would each hand out all slots.
+/// Guards against two hosts that disagree on the owner and each grant all slots.
 #[tokio::test(start_paused = true)]
-async fn hosts_that_hear_each_other_agree_on_the_owner() {
+async fn hosts_that_receive_each_others_heartbeats_agree_on_the_owner() {
     let seen_by_a = table("a", &[("b", "z1"), ("c", "z1")]);
     let seen_by_b = table("b", &[("a", "z1"), ("c", "z1")]);
 
@@ -33,25 +33,25 @@
     assert_eq!(owners[0], owners[1]);
 }
 
-/// Every message about slots between zones costs time and bytes; a zone that lost all hosts has to be
-/// served all the same.
+/// Guards against slot messages between zones, which cost time and bytes. Only the group of a zone that lost
+/// all its hosts is owned by a host elsewhere, so that its targets stay in use.
 #[tokio::test(start_paused = true)]
 async fn a_host_of_another_zone_owns_a_group_only_where_its_zone_has_none() {
     let mut peers = table("d", &[("b", "z2")]);
     peers.receive_heartbeat(host_heartbeat(known_host("a", 1, "z1"), 1), Instant::now());
-    let near = owner(&mut OwnerTable::default(), &peers);
+    let local = owner(&mut OwnerTable::default(), &peers);
 
-    let far = table("e", &[]);
-    let only = owner(&mut OwnerTable::default(), &far);
+    let without_local_hosts = table("e", &[]);
+    let remote = owner(&mut OwnerTable::default(), &without_local_hosts);
 
-    assert!(near.as_ref().is_some_and(|near| &*near.address != "b"), "{near:?}");
-    assert_eq!(only.map(|id| id.address), Some("e".into()));
+    assert!(local.as_ref().is_some_and(|local| &*local.address != "b"), "{local:?}");
+    assert_eq!(remote.map(|id| id.address), Some("e".into()));
 }
 
-/// The owner was killed. Until the silence is long enough for it to count as gone, every request would
-/// wait for an answer that does not come.
+/// Guards against requests that wait for responses of an owner that was killed, until its heartbeats have
+/// been missing for long enough. The exclusion ends by itself.
 #[tokio::test(start_paused = true)]
-async fn a_silent_owner_is_passed_over_and_comes_back() {
+async fn a_silent_owner_is_excluded_for_a_while() {
     let peers = table("a", &[("b", "z1"), ("c", "z1")]);
     let mut owners = OwnerTable::default();
     let first = owner(&mut owners, &peers).unwrap();
@@ -65,18 +65,18 @@
     assert_eq!(owner(&mut owners, &peers), Some(first));
 }
 
-/// A host that is itself slow finds every owner silent. Believed by all, it would move ownership about
-/// and no owner would ever know what is in flight.
+/// Guards against a slow host that finds every owner silent. If its failure reports alone excluded owners,
+/// ownership would move all the time, and no owner would have complete reports of what is in flight.
 #[tokio::test(start_paused = true)]
-async fn the_claim_of_one_host_alone_moves_no_owner() {
+async fn failure_reports_of_one_host_exclude_no_owner() {
     let mut owners = OwnerTable::default();
     let silent = host("c");
 
-    let believed = [
+    let excluded = [
         owners.receive_failure(&"a".into(), &silent, Instant::now()),
         owners.receive_failure(&"a".into(), &silent, Instant::now()),
         owners.receive_failure(&"b".into(), &silent, Instant::now()),
     ];
 
-    assert_eq!(believed, [false, false, true]);
+    assert_eq!(excluded, [false, false, true]);
 }
--- a/crates/cuminramp-fleet/src/slots/tests/search.rs
+++ b/crates/cuminramp-fleet/src/slots/tests/search.rs
@@ -12,7 +12,8 @@
     SearchLimits { max_wait: Duration::from_millis(180), is_retry }
 }
 
-/// Asks until something else than a question follows; `waits` are the answers by zone.
+/// Responds to slot requests until the search queues, refuses or fails. `waits` are the waits by zone; groups
+/// of other zones are empty. Returns the zones that were asked, and the last step.
 fn run(
     search: &mut SlotSearch,
     limits: SearchLimits,
@@ -40,10 +41,10 @@
     SlotSearch::new(groups, "z1", &mut SeededRandom::new(1))
 }
 
-/// Callers of one zone come in a crest that is more than its targets can take, while those of another
-/// stand empty.
+/// Guards against callers that queue in their own zone during a burst beyond its capacity, while targets of
+/// another zone are empty.
 #[test]
-fn the_own_zone_is_asked_first_and_then_the_others() {
+fn the_callers_zone_is_asked_first_and_then_the_others() {
     let mut search = search(&["z2", "z1", "z3"]);
 
     let (asked, step) = run(&mut search, limits(false), &[("z1", 300), ("z2", 90), ("z3", 200)]);
@@ -53,22 +54,22 @@
     assert_eq!(step, SearchStep::Ask { group: group("z2"), may_queue: true });
 }
 
-/// More callers come than all slots can serve in time. One that would wait too long learns so at once
-/// and when to come back; one that has come back is served.
+/// Guards against callers that wait in vain when more of them arrive than all slots can serve in time. A
+/// request that would be late is refused at once with a retry delay; its retry is served.
 #[test]
-fn a_request_that_would_be_late_is_turned_away_at_once_but_only_once() {
+fn a_request_that_would_be_late_is_refused_at_once_but_only_once() {
     let waits = [("z1", 300), ("z2", 270)];
 
     let (_, refused) = run(&mut search(&["z1", "z2"]), limits(false), &waits);
-    let (_, again) = run(&mut search(&["z1", "z2"]), limits(true), &waits);
+    let (_, retried) = run(&mut search(&["z1", "z2"]), limits(true), &waits);
 
-    let SearchStep::Refuse(after) = refused else { panic!("{refused:?}") };
-    assert!(after >= Duration::from_millis(250), "{after:?}");
-    assert_eq!(again, SearchStep::Ask { group: group("z2"), may_queue: true });
+    let SearchStep::Refuse(retry_after) = refused else { panic!("{refused:?}") };
+    assert!(retry_after >= Duration::from_millis(250), "{retry_after:?}");
+    assert_eq!(retried, SearchStep::Ask { group: group("z2"), may_queue: true });
 }
 
-/// A pool stands in many zones. A request that asked all of them one after the other would be late by
-/// the asking.
+/// Guards against requests that are late merely because they ask all of a pool's many zones one after the
+/// other.
 #[test]
 fn no_more_than_five_groups_are_asked() {
     let zones: Vec<String> = (1..=23).map(|index| format!("z{index}")).collect();
@@ -82,13 +83,13 @@
 }
 
 #[test]
-fn a_pool_without_targets_is_nowhere() {
+fn a_search_without_targets_ends_with_nowhere() {
     let (_, step) = run(&mut search(&["z1"]), limits(false), &[]);
 
     assert_eq!(step, SearchStep::Nowhere);
 }
 
-/// Guards against a request that uses up its tries in a zone whose targets were all lost at one moment.
+/// Guards against a request that uses up its attempts in a zone whose targets were all lost at once.
 #[test]
 fn a_zone_in_which_two_sends_failed_is_asked_last() {
     let waits = [("z1", 300), ("z2", 300), ("z3", 300)];
