--- a/crates/cuminramp-fleet/src/demand/tests.rs
+++ b/crates/cuminramp-fleet/src/demand/tests.rs
@@ -14,10 +14,10 @@
     ItemDemand { is_late: true, ..demand(due_in_ms, items) }
 }
 
-/// After an outage every job waits, and one host has a large one that has time. Shared by number, its
-/// items would keep the job that is due next from being done in time.
+/// Guards against a large job with time left that delays a job due sooner. After an outage, the items of all
+/// jobs wait; if slots were shared by number of items, the large job would get most of them.
 #[test]
-fn a_large_job_that_has_time_leaves_room_to_one_that_has_not() {
+fn a_large_job_with_time_left_does_not_delay_a_job_due_sooner() {
     let demands = [(host("a"), vec![demand(16_000, 100)]), (host("b"), vec![demand(6_000, 10)])];
 
     let shares = allocate_slots(12, &demands);
@@ -25,10 +25,10 @@
     assert_eq!(shares, [(host("a"), 2), (host("b"), 10)]);
 }
 
-/// More work came than fits. Items that are late already would take the room of those that can still
-/// be in time, until every caller got its job late.
+/// Guards against overload in which late items use the slots of items that can still be in time, until every
+/// caller gets its job late.
 #[test]
-fn late_items_wait_behind_all_that_can_be_in_time() {
+fn late_items_go_after_all_items_that_can_be_in_time() {
     let demands = [
         (host("a"), vec![demand(9_000, 4), late(-3_000, 8)]),
         (host("b"), vec![late(1_000, 8), demand(12_000, 4)]),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn all_waiting_items_have_a_share_where_there_is_room() {
+fn all_waiting_items_get_a_slot_if_enough_are_free() {
     let demands =
         [(host("a"), vec![demand(1, 3)]), (host("b"), vec![]), (host("c"), vec![late(1, 2)])];
 
