--- a/crates/cuminramp-fleet/src/outliers/tests.rs
+++ b/crates/cuminramp-fleet/src/outliers/tests.rs
@@ -3,7 +3,7 @@
 use cuminramp_core::{HostId, Name, RandomSource, SeededRandom};
 use tokio::time::{Instant, advance};
 
-use super::{LEAST_FAILURES, OutlierDetector, TargetOutcomes};
+use super::{MIN_FAILURES, OutlierDetector, TargetOutcomes};
 use crate::homes::ZoneLimit;
 use crate::placement::{
     ColdShare, FleetTarget, PlacementDecision, PlacementPolicy, PlacementRequest, PlacementTable,
@@ -16,77 +16,78 @@
     HostId { address: name.into(), incarnation: 1 }
 }
 
-fn told(failures: u16, successes: u16) -> Vec<TargetOutcomes> {
+fn outcomes_of(failures: u16, successes: u16) -> Vec<TargetOutcomes> {
     vec![TargetOutcomes { target: TARGET, failures: failures * 16, successes: successes * 16 }]
 }
 
-fn reviewed(mut detector: OutlierDetector) -> bool {
-    detector.review(Instant::now());
+fn is_ejected(mut detector: OutlierDetector) -> bool {
+    detector.evaluate(Instant::now());
     detector.is_outlier(TARGET)
 }
 
-/// Nearly all of a target's answers come whole, and one in twenty gets lost on its way. Set aside, half
-/// of the targets would stand idle while callers wait.
+/// Guards against ejecting targets that lose one answer in twenty on the way: half of the targets would
+/// stand idle while callers wait.
 #[tokio::test(start_paused = true)]
 async fn a_target_that_loses_few_answers_stays_in_use() {
     let mut detector = OutlierDetector::new();
-    for turn in 0..60 {
-        detector.record(TARGET, turn % 20 == 0, Instant::now());
+    for request in 0..60 {
+        detector.record(TARGET, request % 20 == 0, Instant::now());
     }
 
-    assert!(!reviewed(detector));
+    assert!(!is_ejected(detector));
 }
 
-/// The network between one host and a target is broken. Every other host can use the target, and must
-/// not take that host's word for it.
+/// Guards against one host ejecting a target for the whole fleet: the network between the two is broken,
+/// and every other host can use the target.
 #[tokio::test(start_paused = true)]
-async fn one_host_alone_sets_no_target_aside_for_others() {
+async fn one_host_alone_does_not_eject_a_target_for_others() {
     let mut detector = OutlierDetector::new();
-    detector.receive(&host("a"), told(8, 0), Instant::now());
+    detector.receive(&host("a"), outcomes_of(8, 0), Instant::now());
 
-    assert!(!reviewed(detector));
+    assert!(!is_ejected(detector));
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_two_hosts_saw_sets_a_target_aside_until_it_fades() {
+async fn failures_on_two_hosts_eject_a_target_until_they_decay() {
     let mut detector = OutlierDetector::new();
-    detector.receive(&host("a"), told(1, 0), Instant::now());
-    detector.receive(&host("b"), told(1, 0), Instant::now());
+    detector.receive(&host("a"), outcomes_of(1, 0), Instant::now());
+    detector.receive(&host("b"), outcomes_of(1, 0), Instant::now());
 
-    detector.review(Instant::now());
+    detector.evaluate(Instant::now());
     let at_once = detector.is_outlier(TARGET);
     advance(Duration::from_secs(4)).await;
-    detector.review(Instant::now());
+    detector.evaluate(Instant::now());
 
     assert!(at_once);
     assert!(!detector.is_outlier(TARGET));
 }
 
-/// A target that has recovered must be back in seconds, however many requests it failed before.
+/// Guards against a recovered target that stays ejected because it failed many requests before: it must
+/// be reinstated within seconds.
 #[tokio::test(start_paused = true)]
-async fn a_target_that_failed_hundreds_is_back_within_seconds() {
+async fn a_target_that_failed_hundreds_is_reinstated_within_seconds() {
     let mut detector = OutlierDetector::new();
     for _ in 0..300 {
         detector.record(TARGET, true, Instant::now());
     }
 
     advance(Duration::from_secs(6)).await;
-    let left = detector.tell(Instant::now())[0].failures;
+    let failures = detector.advertised(Instant::now())[0].failures;
 
-    assert!(f64::from(left) / 16.0 < LEAST_FAILURES);
+    assert!(f64::from(failures) / 16.0 < MIN_FAILURES);
 }
 
 const HOSTS: usize = 24;
 const TARGETS: usize = 30;
-/// Targets that break every connection although they are registered as serving.
+/// Number of targets that break every connection although they are registered as serving.
 const BROKEN: usize = 3;
-/// Requests come this often to the whole fleet.
-const ARRIVAL: Duration = Duration::from_millis(3);
-/// Time that a request holds its slot.
-const HOLD: Duration = Duration::from_millis(300);
-/// Hosts tell each other this often.
-const NEWS: Duration = Duration::from_millis(30);
-const LOAD_TIME: Duration = Duration::from_secs(6);
+/// Interval between two requests to the whole fleet.
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(3);
+/// Time for which a request occupies its slot.
+const HOLD_TIME: Duration = Duration::from_millis(300);
+/// Interval at which hosts report to each other.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(30);
+const LOAD_DURATION: Duration = Duration::from_secs(6);
 
 fn target(index: usize) -> FleetTarget {
     FleetTarget {
@@ -116,12 +117,13 @@
 
 fn exchange_updates(placements: &mut [PlacementTable]) {
     let (now, group) = (Instant::now(), target(0).group());
-    let news: Vec<_> = placements
+    let updates: Vec<_> = placements
         .iter()
         .map(|placement| (placement.own_loads(&group), placement.own_outcomes(&group, now)))
         .collect();
     for (to, placement) in placements.iter_mut().enumerate() {
-        for (from, (loads, outcomes)) in news.iter().enumerate().filter(|(from, _)| *from != to) {
+        for (from, (loads, outcomes)) in updates.iter().enumerate().filter(|(from, _)| *from != to)
+        {
             let id = host(&format!("h{from}"));
             placement.receive_loads(&id, loads.clone());
             placement.receive_outcomes(&id, outcomes.clone(), now);
@@ -139,19 +141,20 @@
     }
 }
 
-/// A tenth of the targets break every connection while they are registered as serving, and callers'
-/// requests may run only once: each that goes there is lost to its caller. What one host saw has to
-/// spare the others; at most three in a hundred sends may fail.
+/// Guards against each host finding a failing target by itself. A tenth of the targets break every
+/// connection while they are registered as serving, and requests may run only once, so each one sent
+/// there is lost to its caller. The failures of one host must spare the others: at most three in a
+/// hundred sends may fail.
 #[tokio::test(start_paused = true)]
-async fn a_fleet_before_failing_targets_loses_few_requests() {
+async fn a_fleet_with_failing_targets_loses_few_requests() {
     let mut placements = make_placements();
     let mut random = SeededRandom::new(11);
     let mut held: Vec<(Instant, usize, Name)> = Vec::new();
     let (mut sends, mut failures) = (0_u32, 0_u32);
-    let (began, mut next_updates) = (Instant::now(), Instant::now());
+    let (started_at, mut next_updates) = (Instant::now(), Instant::now());
 
-    while began.elapsed() < LOAD_TIME {
-        advance(ARRIVAL).await;
+    while started_at.elapsed() < LOAD_DURATION {
+        advance(ARRIVAL_INTERVAL).await;
         let now = Instant::now();
         held.retain(|(until, host, id)| {
             let is_held = *until > now;
@@ -163,7 +166,7 @@
         });
         if now >= next_updates {
             exchange_updates(&mut placements);
-            next_updates = now + NEWS;
+            next_updates = now + UPDATE_INTERVAL;
         }
         let host = random.below(HOSTS);
         let Some(id) = send(&mut placements[host], &mut random) else { continue };
@@ -173,7 +176,7 @@
             placements[host].record_failure(&id, now);
         } else {
             placements[host].begin(&id, WorkKind::Online);
-            held.push((now + HOLD, host, id));
+            held.push((now + HOLD_TIME, host, id));
         }
     }
 
--- a/crates/cuminramp-fleet/src/placement.rs
+++ b/crates/cuminramp-fleet/src/placement.rs
@@ -384,7 +384,7 @@
     /// Takes what a host tells of failing targets in place of what it told before.
     pub fn receive_outcomes(&mut self, host: &HostId, outcomes: Vec<TargetOutcomes>, now: Instant) {
         self.outliers.receive(host, outcomes, now);
-        self.outliers.review(now);
+        self.outliers.evaluate(now);
     }
 
     /// Counts work that was just sent to a target.
@@ -455,7 +455,7 @@
     /// half of its pool would then get none.
     pub fn record_failure(&mut self, id: &str, now: Instant) {
         self.outliers.record(name_hash(id), true, now);
-        self.outliers.review(now);
+        self.outliers.evaluate(now);
         let Some(pool) = self.entries.get(id).map(|entry| entry.target.pool.clone()) else {
             return;
         };
--- a/crates/cuminramp-fleet/src/placement/group.rs
+++ b/crates/cuminramp-fleet/src/placement/group.rs
@@ -153,7 +153,7 @@
             let id = self.hashes.get(&told.target);
             id.and_then(|id| self.entries.get(id)).is_some_and(|entry| entry.group == hash)
         };
-        self.outliers.tell(now).into_iter().filter(in_group).collect()
+        self.outliers.advertised(now).into_iter().filter(in_group).collect()
     }
 
     /// Targets of a group that this host sends nothing now: they refused it or broke off.
--- a/crates/cuminramp-fleet/src/placement/placing.rs
+++ b/crates/cuminramp-fleet/src/placement/placing.rs
@@ -107,7 +107,7 @@
     fn rate_free(&self, entry: &PlacementEntry) -> f64 {
         let is_near = entry.target.zone == self.zone;
         let bonus = if is_near { self.policy.zone_bonus } else { 0 };
-        let failing = self.outliers.failure_share(entry.hash) * f64::from(entry.target.slots);
+        let failing = self.outliers.failure_rate(entry.hash) * f64::from(entry.target.slots);
         f64::from(entry.target.slots - entry.total() + bonus) - failing
     }
 
