--- a/crates/cuminramp-fleet/src/placement.rs
+++ b/crates/cuminramp-fleet/src/placement.rs
@@ -1,12 +1,13 @@
-//! Where requests and batch items go, and which items give way.
+//! Placement of requests and batch items on targets, and preemption of items by requests.
 //!
-//! Targets admit in order of arrival and know no priorities, so online work keeps its place only if
-//! batch work is not there when it comes. The owner of a group of targets knows what all hosts have in
-//! flight there. It places a request where most slots are free; where none is, on a target with batch
-//! items, and tells the host that has them to break one off. Batch items enter every slot that is free:
-//! an item gives way within milliseconds, and slots kept free for callers stood empty for seconds.
+//! Targets admit work in order of arrival and have no priorities, so an online request is served in time
+//! only if batch items don't occupy the slots when it arrives. The owner of a group of targets records
+//! what all hosts have in flight there. It places a request on the target with the most free slots or, if
+//! no slot is free, on a target with batch items, and commands the host that holds them to cancel one.
+//! Batch items may occupy every free slot: an item is preempted within milliseconds, whereas slots
+//! reserved for callers stood empty for seconds.
 //!
-//! A host that can ask no owner places its requests by what it has in flight itself.
+//! A host that reaches no owner places its requests by what it has in flight itself.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -30,38 +31,38 @@
 use orphans::{OrphanedWork, RecentPeak};
 use reachability::ReachabilityTable;
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TargetPhase {
-    /// It takes work.
+    /// The target accepts new work.
     Serving,
-    /// It is about to leave and gets nothing new.
+    /// The target is about to leave and receives no new work.
     Draining,
 }
 
-/// One target as it registered itself.
+/// A target as it registered itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FleetTarget {
-    /// Its identity; a new run mostly has another.
+    /// Identity of the target; a new run usually has a new one.
     pub id: Name,
-    /// The pool that it stands in.
+    /// Pool to which the target belongs.
     pub pool: Name,
-    /// Where it listens, `ip:port`.
+    /// Address on which the target listens, `ip:port`.
     pub address: Name,
-    /// Its availability zone.
+    /// Availability zone of the target.
     pub zone: AvailabilityZone,
-    /// Requests that it works on at once.
+    /// Number of requests that the target processes at once.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the target accepts new work.
     pub phase: TargetPhase,
-    /// When this run began, in milliseconds of Unix time; 0 where it does not say.
+    /// Start of this run in milliseconds of Unix time; 0 if the target doesn't report it.
     pub started_at_ms: u64,
-    /// How much longer it is cold, as it said last.
+    /// Remaining time for which the target is cold, as it last reported it.
     pub cold_for: Duration,
 }
 
 impl FleetTarget {
-    /// The group whose owner hands out its slots.
+    /// Returns the group whose owner grants the target's slots.
     ///
     /// ```
     /// use cuminramp_fleet::{FleetTarget, TargetPhase};
@@ -82,98 +83,101 @@
     }
 }
 
-/// What kind of work occupies a slot.
+/// Kind of work that occupies a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WorkKind {
-    /// A caller waits for it.
+    /// A request for which a caller waits.
     Online,
-    /// An item of a job.
+    /// An item of a batch job.
     Batch,
 }
 
 /// Limits and weights of placement.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementPolicy {
-    /// How long a target that refused for want of room gets no new work.
-    pub full_pause: Duration,
-    /// How long a target gets no new work after a failure; doubled with each further one.
-    pub failure_pause: Duration,
-    /// The longest such pause.
-    pub max_pause: Duration,
-    /// Part of the objective that waiting at a target may use up; the rest is for the first event.
+    /// Time for which a target that refused a request for lack of capacity receives no new work.
+    pub full_backoff: Duration,
+    /// Time for which a target receives no new work after a failure; doubled with each further failure.
+    pub failure_backoff: Duration,
+    /// Maximum backoff after failures.
+    pub max_failure_backoff: Duration,
+    /// Share of a request's objective that may be spent waiting at a target; the rest is left for the
+    /// first event.
     pub wait_share: f64,
-    /// Time that a request holds a slot, assumed until requests have been seen.
-    pub first_hold: Duration,
-    /// Slots that a target in another zone must have free beyond one in the caller's zone. Bytes
-    /// between zones cost and take longer, a queue costs more.
+    /// Time for which a request is assumed to hold a slot until requests have been observed.
+    pub initial_hold: Duration,
+    /// Number of slots that a target in another zone must have free beyond one in this host's zone.
+    /// Traffic between zones costs money and adds latency, but waiting in a queue costs more.
     pub zone_bonus: u32,
-    /// What operators tolerate beyond the declared rate of cold targets.
+    /// Tolerated excess over the declared rate of cold targets, as set by operators.
     pub cold_tolerance: ColdTolerance,
 }
 
 impl Default for PlacementPolicy {
     fn default() -> Self {
         PlacementPolicy {
-            full_pause: Duration::from_millis(60),
-            failure_pause: Duration::from_millis(500),
-            max_pause: Duration::from_secs(4),
+            full_backoff: Duration::from_millis(60),
+            failure_backoff: Duration::from_millis(500),
+            max_failure_backoff: Duration::from_secs(4),
             wait_share: 0.6,
-            first_hold: Duration::from_millis(700),
+            initial_hold: Duration::from_millis(700),
             zone_bonus: 2,
             cold_tolerance: ColdTolerance { factor: 1.0, requests: 0.0 },
         }
     }
 }
 
-/// What a request needs of a place.
+/// Requirements of a request that is to be placed.
 #[derive(Debug)]
 pub struct PlacementRequest<'a> {
-    /// Its pool.
+    /// Pool whose targets serve the request.
     pub pool: &'a str,
-    /// Time to the first event that it should keep.
+    /// Time within which the first event of the answer should arrive.
     pub objective: Duration,
-    /// Whether it was turned away before: it goes before newcomers, and is not turned away twice
-    /// while it can be answered at all.
+    /// Whether the caller retries a request that was refused before: it goes ahead of new requests, and
+    /// isn't refused again while any target can answer it.
     pub is_retry: bool,
-    /// Targets that it was sent to already.
+    /// Targets to which the request was already sent.
     pub tried: &'a [Name],
-    /// Where it may run.
+    /// Zones in which the request may run.
     pub zones: &'a ZoneLimit,
 }
 
-/// Where a request goes.
+/// Result of placing a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PlacementDecision {
-    /// To this target, which has a slot free or one that batch work gives up.
+    /// The request goes to this target: it has a free slot, a batch item that can be preempted, or a
+    /// queue with an acceptable wait.
     Send(FleetTarget),
-    /// It would wait too long everywhere; there may be room after this time.
+    /// The request is refused, since it would wait too long everywhere; slots may be free after this
+    /// time.
     Full(Duration),
-    /// The pool has no target that takes work.
+    /// The pool has no target that accepts work.
     Nowhere,
 }
 
 #[derive(Debug)]
 struct PlacementEntry {
     target: FleetTarget,
-    /// The short form of its identity.
+    /// Hash of the target's identity, which stands for it in messages.
     hash: u32,
-    /// The short form of its group.
-    group: u32,
+    /// Hash of the target's group.
+    group_hash: u32,
     own_online: u32,
     own_batch: u32,
     others_online: u32,
     others_batch: u32,
     peak: RecentPeak,
     orphaned: OrphanedWork,
-    /// What the target told last, until a report passes it on.
+    /// Load that the target reported last, until it is sent on to the owner of the group.
     unreported_load: Option<u16>,
     full_until: Option<Instant>,
-    paused_until: Option<Instant>,
+    backoff_until: Option<Instant>,
     failures: u32,
-    /// Whether its zone is drained.
+    /// Whether the target's zone is drained.
     is_drained: bool,
     cold_until: Option<Instant>,
-    /// When it got requests lately, as far as this host handed them out.
+    /// Times of recent requests to the target, as far as this host granted or sent them.
     sends: VecDeque<Instant>,
 }
 
@@ -186,36 +190,37 @@
         self.own_batch + self.others_batch
     }
 
-    /// What hosts have in flight.
+    /// Returns the amount of work that live hosts have in flight.
     fn in_flight(&self) -> u32 {
         self.online() + self.batch()
     }
 
-    /// Work that does not give way: that of callers, and of hosts that are gone.
-    fn firm(&self) -> u32 {
-        self.online() + self.orphaned.left()
+    /// Returns the amount of work that can't be preempted: online requests, and orphaned work of hosts
+    /// that are gone.
+    fn non_preemptible(&self) -> u32 {
+        self.online() + self.orphaned.remaining()
     }
 
     fn total(&self) -> u32 {
-        self.firm() + self.batch()
+        self.non_preemptible() + self.batch()
     }
 
-    fn own(&self) -> u32 {
+    fn own_in_flight(&self) -> u32 {
         self.own_online + self.own_batch
     }
 
-    fn takes_work(&self) -> bool {
+    fn accepts_work(&self) -> bool {
         self.target.phase == TargetPhase::Serving && !self.is_drained
     }
 
-    fn is_open(&self, now: Instant) -> bool {
-        self.takes_work()
+    fn is_available(&self, now: Instant) -> bool {
+        self.accepts_work()
             && self.full_until.is_none_or(|until| until <= now)
-            && self.paused_until.is_none_or(|until| until <= now)
+            && self.backoff_until.is_none_or(|until| until <= now)
     }
 }
 
-/// All targets, with what is in flight at each.
+/// All known targets, with the work in flight at each.
 #[derive(Debug)]
 pub struct PlacementTable {
     zone: AvailabilityZone,
@@ -225,18 +230,18 @@
     groups: SortedMap<u32, SlotGroup>,
     peer_loads: SortedMap<HostId, Vec<TargetLoad>>,
     outliers: OutlierDetector,
-    hold: Duration,
-    /// Zones whose targets get nothing new, in the order of their names.
+    average_hold: Duration,
+    /// Zones whose targets receive no new work, sorted by name.
     drained: Vec<AvailabilityZone>,
     cold_rules: SortedMap<Name, ColdRule>,
     reachability: ReachabilityTable,
 }
 
-/// How much a new sample weighs in the average time that a request holds a slot.
-const HOLD_WEIGHT: f64 = 0.05;
+/// Weight of a new sample in the moving average of the time for which a request holds a slot.
+const HOLD_TIME_WEIGHT: f64 = 0.05;
 
 impl PlacementTable {
-    /// Knows no target yet. `zone` is where this host stands.
+    /// Creates a table without targets. `zone` is the availability zone of this host.
     pub fn new(zone: AvailabilityZone, policy: PlacementPolicy) -> Self {
         PlacementTable {
             zone,
@@ -246,14 +251,15 @@
             groups: SortedMap::new(),
             peer_loads: SortedMap::new(),
             outliers: OutlierDetector::new(),
-            hold: policy.first_hold,
+            average_hold: policy.initial_hold,
             drained: Vec::new(),
             cold_rules: SortedMap::new(),
             reachability: ReachabilityTable::default(),
         }
     }
 
-    /// Takes a target's present state; an earlier run at the same identity never replaces a later.
+    /// Adds a target or updates its state. The state of an earlier run never replaces that of a later run
+    /// with the same identity.
     pub fn put(&mut self, target: FleetTarget) {
         let now = Instant::now();
         let group = target.group();
@@ -265,23 +271,23 @@
                 return;
             }
             if entry.target.started_at_ms != target.started_at_ms {
-                entry.paused_until = None;
+                entry.backoff_until = None;
                 entry.failures = 0;
                 entry.orphaned = OrphanedWork::none(now);
                 self.outliers.forget(name_hash(&target.id));
             }
-            entry.note_cold(target.cold_for, now);
+            entry.extend_cold(target.cold_for, now);
             entry.target = target;
-            entry.group = group_hash;
+            entry.group_hash = group_hash;
             entry.is_drained = is_drained;
             return;
         }
         let hash = name_hash(&target.id);
         self.hashes.insert(hash, target.id.clone());
-        let (others_online, others_batch) = self.told_of(hash);
+        let (others_online, others_batch) = self.peer_load_of(hash);
         let mut entry = PlacementEntry {
             hash,
-            group: group_hash,
+            group_hash,
             own_online: 0,
             own_batch: 0,
             others_online,
@@ -290,18 +296,18 @@
             orphaned: OrphanedWork::none(now),
             unreported_load: None,
             full_until: None,
-            paused_until: None,
+            backoff_until: None,
             failures: 0,
             is_drained,
             cold_until: None,
             sends: VecDeque::new(),
             target,
         };
-        entry.note_cold(entry.target.cold_for, now);
+        entry.extend_cold(entry.target.cold_for, now);
         self.entries.insert(entry.target.id.clone(), entry);
     }
 
-    /// Takes a target out that has gone.
+    /// Removes a target that is gone.
     pub fn remove(&mut self, id: &str) {
         if self.entries.remove(id).is_some() {
             self.hashes.remove(&name_hash(id));
@@ -309,44 +315,44 @@
         }
     }
 
-    /// Takes the zones that are drained, in the order of their names. The targets of one that was taken
-    /// back may be cold and not have said so yet.
+    /// Sets the drained zones, sorted by name. When the drain of a zone ends, its targets are treated as
+    /// cold, since they may be cold and not have reported it yet.
     pub fn set_drained(&mut self, zones: Vec<AvailabilityZone>, now: Instant) {
-        let cold_times: Vec<Duration> =
-            self.entries.values().map(|entry| self.cold_time(&entry.target.pool)).collect();
-        for ((_, entry), cold_time) in self.entries.iter_mut().zip(cold_times) {
+        let cold_durations: Vec<Duration> =
+            self.entries.values().map(|entry| self.cold_duration(&entry.target.pool)).collect();
+        for ((_, entry), cold_duration) in self.entries.iter_mut().zip(cold_durations) {
             let was_drained = entry.is_drained;
             entry.is_drained = zones.binary_search(&entry.target.zone).is_ok();
             if was_drained && !entry.is_drained {
-                entry.note_cold(cold_time, now);
+                entry.extend_cold(cold_duration, now);
             }
         }
         self.drained = zones;
     }
 
-    /// Part of the objective that waiting at a target may use up.
+    /// Returns the share of a request's objective that may be spent waiting at a target.
     pub fn wait_share(&self) -> f64 {
         self.policy.wait_share
     }
 
-    /// All targets.
+    /// Returns all targets.
     pub fn targets(&self) -> impl Iterator<Item = &FleetTarget> {
         self.entries.values().map(|entry| &entry.target)
     }
 
-    /// One target.
+    /// Returns the target with this identity.
     pub fn get(&self, id: &str) -> Option<&FleetTarget> {
         self.entries.get(id).map(|entry| &entry.target)
     }
 
-    fn told_of(&self, hash: u32) -> (u32, u32) {
+    fn peer_load_of(&self, hash: u32) -> (u32, u32) {
         let all = self.peer_loads.values().flatten().filter(|load| load.target == hash);
         all.fold((0, 0), |sum, load| {
             (sum.0 + u32::from(load.online), sum.1 + u32::from(load.batch))
         })
     }
 
-    fn shift(&mut self, loads: &[TargetLoad], is_added: bool) {
+    fn adjust_peer_loads(&mut self, loads: &[TargetLoad], is_added: bool) {
         for load in loads {
             let Some(id) = self.hashes.get(&load.target) else { continue };
             let Some(entry) = self.entries.get_mut(id) else { continue };
@@ -354,7 +360,7 @@
             if is_added {
                 entry.others_online += online;
                 entry.others_batch += batch;
-                entry.note_peak(Instant::now());
+                entry.record_peak(Instant::now());
             } else {
                 entry.others_online = entry.others_online.saturating_sub(online);
                 entry.others_batch = entry.others_batch.saturating_sub(batch);
@@ -362,43 +368,44 @@
         }
     }
 
-    /// Replaces what a host has in flight by what it tells now.
+    /// Replaces what a host has in flight by its new report.
     pub fn receive_loads(&mut self, host: &HostId, loads: Vec<TargetLoad>) {
         self.forget_host(host);
-        self.shift(&loads, true);
+        self.adjust_peer_loads(&loads, true);
         self.peer_loads.insert(host.clone(), loads);
     }
 
-    /// Drops what a host had in flight, and what earlier runs at its address had.
+    /// Drops what a host reported: its work in flight, that of earlier runs at its address, and the
+    /// outcomes of its sends.
     pub fn forget_host(&mut self, host: &HostId) {
         let runs: Vec<HostId> =
-            self.peer_loads.keys().filter(|held| held.address == host.address).cloned().collect();
+            self.peer_loads.keys().filter(|run| run.address == host.address).cloned().collect();
         for run in runs {
             if let Some(loads) = self.peer_loads.remove(&run) {
-                self.shift(&loads, false);
+                self.adjust_peer_loads(&loads, false);
             }
         }
         self.outliers.forget_host(host);
     }
 
-    /// Takes what a host tells of failing targets in place of what it told before.
+    /// Replaces the outcomes that a host reported for failing targets by its new report.
     pub fn receive_outcomes(&mut self, host: &HostId, outcomes: Vec<TargetOutcomes>, now: Instant) {
         self.outliers.receive(host, outcomes, now);
         self.outliers.evaluate(now);
     }
 
-    /// Counts work that was just sent to a target.
+    /// Counts work that was just sent to a target as in flight.
     pub fn begin(&mut self, id: &str, kind: WorkKind) {
         if let Some(entry) = self.entries.get_mut(id) {
             match kind {
                 WorkKind::Online => entry.own_online += 1,
                 WorkKind::Batch => entry.own_batch += 1,
             }
-            entry.note_peak(Instant::now());
+            entry.record_peak(Instant::now());
         }
     }
 
-    /// Ends what [`begin`](Self::begin) counted.
+    /// Ends work that [`begin`](Self::begin) counted as in flight.
     pub fn end(&mut self, id: &str, kind: WorkKind) {
         if let Some(entry) = self.entries.get_mut(id) {
             match kind {
@@ -408,51 +415,51 @@
         }
     }
 
-    /// A request held its slot for so long.
-    pub fn record_hold(&mut self, held: Duration) {
-        let average =
-            self.hold.as_secs_f64() * (1.0 - HOLD_WEIGHT) + held.as_secs_f64() * HOLD_WEIGHT;
-        self.hold = Duration::from_secs_f64(average);
+    /// Records the time for which a request held its slot.
+    pub fn record_hold(&mut self, hold_time: Duration) {
+        let average = self.average_hold.as_secs_f64() * (1.0 - HOLD_TIME_WEIGHT)
+            + hold_time.as_secs_f64() * HOLD_TIME_WEIGHT;
+        self.average_hold = Duration::from_secs_f64(average);
     }
 
-    /// A target answered as it should.
+    /// Records that a target answered correctly, which ends its backoff after failures.
     pub fn record_success(&mut self, id: &str, now: Instant) {
         self.outliers.record(name_hash(id), false, now);
         if let Some(entry) = self.entries.get_mut(id) {
             entry.failures = 0;
-            entry.paused_until = None;
+            entry.backoff_until = None;
         }
     }
 
-    /// A connection to a target did not stand.
+    /// Records that a connection to a target could not be established.
     pub fn record_unreachable(&mut self, id: &str, now: Instant) {
         if let Some(entry) = self.entries.get(id) {
             self.reachability.record_unreachable(&entry.target.zone, now);
         }
     }
 
-    /// A target answered, whatever it said.
+    /// Records that a target answered, with whatever result.
     pub fn record_reachable(&mut self, id: &str) {
         if let Some(entry) = self.entries.get(id) {
             self.reachability.record_reachable(&entry.target.zone);
         }
     }
 
-    /// Whether this host lately failed to connect to targets of a zone several times in a row.
+    /// Returns whether this host recently failed to connect to targets of a zone several times in a row.
     pub fn is_unreachable(&self, zone: &str, now: Instant) -> bool {
         self.reachability.is_unreachable(zone, now)
     }
 
-    /// A target had no room.
+    /// Records that a target refused a request for lack of capacity.
     pub fn record_full(&mut self, id: &str, now: Instant) {
-        let pause = self.policy.full_pause;
+        let backoff = self.policy.full_backoff;
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.full_until = Some(now + pause);
+            entry.full_until = Some(now + backoff);
         }
     }
 
-    /// A target failed, broke off or fell silent: it gets no new work for a while, unless more than
-    /// half of its pool would then get none.
+    /// Records that a target failed, cut off an answer or fell silent. It receives no new work for a
+    /// while, unless at least half of its pool is in backoff already.
     pub fn record_failure(&mut self, id: &str, now: Instant) {
         self.outliers.record(name_hash(id), true, now);
         self.outliers.evaluate(now);
@@ -460,21 +467,21 @@
             return;
         };
         let of_pool = self.entries.values().filter(|entry| entry.target.pool == pool);
-        let (all, paused) = of_pool.fold((0, 0), |(all, paused), entry| {
-            let is_paused = entry.paused_until.is_some_and(|until| until > now);
-            (all + 1, paused + usize::from(is_paused))
+        let (all, in_backoff) = of_pool.fold((0, 0), |(all, in_backoff), entry| {
+            let is_in_backoff = entry.backoff_until.is_some_and(|until| until > now);
+            (all + 1, in_backoff + usize::from(is_in_backoff))
         });
         let policy = self.policy;
         let Some(entry) = self.entries.get_mut(id) else { return };
         entry.failures += 1;
-        if paused * 2 < all {
+        if in_backoff * 2 < all {
             let factor = 1u32 << (entry.failures - 1).min(4);
-            let pause = (policy.failure_pause * factor).min(policy.max_pause);
-            entry.paused_until = Some(now + pause);
+            let backoff = (policy.failure_backoff * factor).min(policy.max_failure_backoff);
+            entry.backoff_until = Some(now + backoff);
         }
     }
 
-    /// Targets that were set aside or are used again since this was last asked.
+    /// Returns the targets ejected as outliers or reinstated since the last call.
     pub fn take_outlier_changes(&mut self, now: Instant) -> Vec<OutlierChange> {
         self.outliers.take_changes(now)
     }
@@ -483,7 +490,8 @@
         self.outliers.is_outlier(entry.hash)
     }
 
-    /// Online requests and batch items at all targets, those of this host, and all slots.
+    /// Returns the online requests and batch items in flight at all targets, the online requests and
+    /// batch items of this host among them, and the number of all slots.
     pub fn load(&self) -> (u32, u32, u32, u32, u32) {
         self.entries.values().fold((0, 0, 0, 0, 0), |sum, entry| {
             (
@@ -496,10 +504,12 @@
         })
     }
 
-    /// Slots of a pool that are taken, and all, of targets that take work.
+    /// Returns the occupied slots and all slots of a pool, over its targets that accept work.
     pub fn occupancy(&self, pool: &str) -> (u32, u32) {
-        let of_pool =
-            self.entries.values().filter(|entry| &*entry.target.pool == pool && entry.takes_work());
+        let of_pool = self
+            .entries
+            .values()
+            .filter(|entry| &*entry.target.pool == pool && entry.accepts_work());
         of_pool.fold((0, 0), |sum, entry| (sum.0 + entry.total(), sum.1 + entry.target.slots))
     }
 }
--- a/crates/cuminramp-fleet/src/placement/cold.rs
+++ b/crates/cuminramp-fleet/src/placement/cold.rs
@@ -1,12 +1,14 @@
-//! Targets that have just started, and how many requests they may get.
+//! Cold targets, which have just started, and the rate of requests that they may receive.
 //!
-//! A cold target breaks where it gets many more requests a second than it bears, whoever sends them. So
-//! the owner of its group hands out a rate with its slots. At the turn of an ownership two hosts may
-//! believe that they own the group, and hosts that reach no owner decide alone; all of them together
-//! stay below what the target bears:
+//! A cold target fails if it receives many more requests a second than it can sustain, whoever sends
+//! them. The owner of its group therefore grants a rate along with its slots. While ownership changes,
+//! two hosts may both act as the owner, and hosts that reach no owner place requests by themselves. The
+//! requests of all these hosts together stay below what the target sustains:
 //!
-//! - an owner that has been it for a while and hears most hosts of the zone hands out less than half;
-//! - of the others only a few hosts, drawn by rendezvous for each target, send a request a second.
+//! - an owner that has owned the group for a while, and receives heartbeats from most hosts of the zone,
+//!   grants less than half of it;
+//! - of the other hosts only a few, drawn by rendezvous hashing for each target, send one request a
+//!   second.
 
 use std::time::Duration;
 
@@ -16,52 +18,55 @@
 use super::{PlacementEntry, PlacementTable};
 use crate::slots::SlotGroup;
 
-/// Requests in any such time are counted together: a second, and what ways of unequal length may add.
-const COUNTED_FOR: Duration = Duration::from_millis(1_100);
-/// Part of what a cold target bears that is kept for hosts that decide alone.
-const ALONE_SHARE: f64 = 0.2;
+/// Window in which requests to a cold target are counted: a second, plus the difference that paths of
+/// unequal latency may add.
+const RATE_WINDOW: Duration = Duration::from_millis(1_100);
+/// Share of the rate of a cold target that is reserved for hosts that decide without an owner.
+const WITHOUT_OWNER_SHARE: f64 = 0.2;
 
-/// What the targets of a pool bear while they are cold.
+/// Rate that the targets of a pool sustain while they are cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRule {
-    /// Requests a second; 0 where it does not matter.
+    /// Maximum number of requests a second at each target; 0 for no limit.
     pub requests_per_s: f64,
-    /// How long a target stays cold after its start.
+    /// Time for which a target stays cold after its start.
     pub lasts: Duration,
 }
 
-/// What operators tolerate beyond a [`ColdRule`].
+/// Excess over a [`ColdRule`] that operators tolerate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdTolerance {
-    /// The rate may be exceeded by this factor.
+    /// Factor by which the declared rate is multiplied.
     pub factor: f64,
-    /// And by so many requests in a second.
+    /// Number of requests in a second by which that product may be exceeded.
     pub requests: f64,
 }
 
-/// What a host may hand out of the rate of cold targets.
+/// Share of the rate of cold targets that a host may grant.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ColdShare {
     /// The share of the group's owner.
     Owner,
-    /// A request a second at each of these targets, by their short forms.
+    /// One request a second at each of these targets, given by their hashes, without an owner's grant.
     Alone(Vec<u32>),
 }
 
-/// Requests in a second at one cold target.
+/// Maximum numbers of requests at one cold target within [`RATE_WINDOW`]: those up to which its owner
+/// grants slots, those up to which it grants slots to batch items, and those of hosts that decide without
+/// an owner, one request each.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct ColdLimits {
     owner: usize,
     items: usize,
-    lone_hosts: usize,
+    hosts_without_owner: usize,
 }
 
 impl ColdLimits {
     fn new(rule: ColdRule, tolerance: ColdTolerance) -> Self {
-        let all = (rule.requests_per_s * tolerance.factor + tolerance.requests).floor();
-        let alone = (all * ALONE_SHARE).floor();
-        let owner = ((all - alone) / 2.0).floor() as usize;
-        ColdLimits { owner, items: owner / 2, lone_hosts: alone as usize }
+        let total = (rule.requests_per_s * tolerance.factor + tolerance.requests).floor();
+        let without_owner = (total * WITHOUT_OWNER_SHARE).floor();
+        let owner = ((total - without_owner) / 2.0).floor() as usize;
+        ColdLimits { owner, items: owner / 2, hosts_without_owner: without_owner as usize }
     }
 }
 
@@ -70,20 +75,20 @@
         self.cold_until.is_some_and(|until| until > now)
     }
 
-    /// It is cold for so long from now on, unless it is known to be for longer.
-    pub(super) fn note_cold(&mut self, lasts: Duration, now: Instant) {
-        if !lasts.is_zero() {
-            self.cold_until = self.cold_until.max(Some(now + lasts));
+    /// Marks the target as cold for a time from now on, unless it is already marked for longer.
+    pub(super) fn extend_cold(&mut self, duration: Duration, now: Instant) {
+        if !duration.is_zero() {
+            self.cold_until = self.cold_until.max(Some(now + duration));
         }
     }
 
-    fn sent_lately(&self, now: Instant) -> usize {
+    fn sends_in_window(&self, now: Instant) -> usize {
         let recent = self.sends.iter().rev();
-        recent.take_while(|at| now.duration_since(**at) < COUNTED_FOR).count()
+        recent.take_while(|at| now.duration_since(**at) < RATE_WINDOW).count()
     }
 
-    fn note_send(&mut self, now: Instant) {
-        while self.sends.front().is_some_and(|at| now.duration_since(*at) >= COUNTED_FOR) {
+    fn record_send(&mut self, now: Instant) {
+        while self.sends.front().is_some_and(|at| now.duration_since(*at) >= RATE_WINDOW) {
             self.sends.pop_front();
         }
         self.sends.push_back(now);
@@ -91,7 +96,7 @@
 }
 
 impl PlacementTable {
-    /// Takes what cold targets of each pool bear, as declared.
+    /// Sets the declared rate of cold targets for each pool.
     pub fn set_cold_rules(&mut self, rules: SortedMap<Name, ColdRule>) {
         self.cold_rules = rules;
     }
@@ -102,13 +107,14 @@
         is_limited.then(|| ColdLimits::new(*rule, self.policy.cold_tolerance))
     }
 
-    /// How long a target of the pool is taken to be cold when it may be so without having said it.
-    pub(super) fn cold_time(&self, pool: &str) -> Duration {
+    /// Returns the time for which a target of the pool is treated as cold where it may be cold without
+    /// having reported it.
+    pub(super) fn cold_duration(&self, pool: &str) -> Duration {
         self.cold_rules.get(pool).map_or(Duration::ZERO, |rule| rule.lasts)
     }
 
-    /// Requests that a target may get now.
-    pub(super) fn sends_left(
+    /// Returns the number of requests that a target may receive now.
+    pub(super) fn remaining_sends(
         &self,
         entry: &PlacementEntry,
         share: &ColdShare,
@@ -117,15 +123,16 @@
         let Some(limits) = self.cold_limits(entry).filter(|_| entry.is_cold(now)) else {
             return usize::MAX;
         };
-        let most = match share {
+        let max = match share {
             ColdShare::Owner => limits.owner,
             ColdShare::Alone(targets) => usize::from(targets.contains(&entry.hash)),
         };
-        most.saturating_sub(entry.sent_lately(now))
+        max.saturating_sub(entry.sends_in_window(now))
     }
 
-    /// Batch items that a target may get now: they leave callers half of the rate.
-    pub(super) fn items_left(
+    /// Returns the number of batch items that a target may receive now. Items leave half of the rate to
+    /// callers.
+    pub(super) fn remaining_items(
         &self,
         entry: &PlacementEntry,
         share: &ColdShare,
@@ -135,33 +142,34 @@
             return usize::MAX;
         };
         match share {
-            ColdShare::Owner => limits.items.saturating_sub(entry.sent_lately(now)),
+            ColdShare::Owner => limits.items.saturating_sub(entry.sends_in_window(now)),
             ColdShare::Alone(_) => 0,
         }
     }
 
-    /// Until the first of some targets that got all they bear may get a request again.
+    /// Returns the time until the first of these targets, whose rate is used up, may receive a request
+    /// again.
     pub(super) fn cold_wait(&self, entries: &[&PlacementEntry], now: Instant) -> Option<Duration> {
         let waits = entries.iter().filter_map(|entry| {
-            let oldest = entry.sends.iter().find(|at| now.duration_since(**at) < COUNTED_FOR);
-            let free_at = oldest.map(|at| *at + COUNTED_FOR);
+            let oldest = entry.sends.iter().find(|at| now.duration_since(**at) < RATE_WINDOW);
+            let free_at = oldest.map(|at| *at + RATE_WINDOW);
             free_at.or(entry.cold_until).map(|at| at.saturating_duration_since(now))
         });
         waits.min()
     }
 
-    /// Takes note that a target gets some requests.
+    /// Records that a target is sent a number of requests.
     pub fn record_sends(&mut self, target: u32, requests: u16, now: Instant) {
         let id = self.hashes.get(&target);
         let Some(entry) = id.and_then(|id| self.entries.get_mut(id)) else { return };
         if self.cold_rules.get(&entry.target.pool).is_none() {
             return;
         }
-        (0..requests).for_each(|_| entry.note_send(now));
+        (0..requests).for_each(|_| entry.record_send(now));
     }
 
-    /// Cold targets of a pool, in one group or in all, with the number of hosts that may each send
-    /// there alone.
+    /// Returns the cold targets of a pool, in one group or in all, each with the number of hosts that may
+    /// send requests there without an owner.
     pub fn cold_targets(
         &self,
         pool: &str,
@@ -171,9 +179,10 @@
         let hash = group.map(SlotGroup::hash);
         let cold = self.entries.values().filter(|entry| {
             *entry.target.pool == *pool
-                && hash.is_none_or(|hash| entry.group == hash)
+                && hash.is_none_or(|hash| entry.group_hash == hash)
                 && entry.is_cold(now)
         });
-        cold.filter_map(|entry| Some((entry.hash, self.cold_limits(entry)?.lone_hosts))).collect()
+        cold.filter_map(|entry| Some((entry.hash, self.cold_limits(entry)?.hosts_without_owner)))
+            .collect()
     }
 }
--- a/crates/cuminramp-fleet/src/placement/group.rs
+++ b/crates/cuminramp-fleet/src/placement/group.rs
@@ -1,4 +1,4 @@
-//! The targets of one group, as their owner sees them.
+//! Placement within one group of targets by the group's owner, and look-ups by group and by hash.
 
 use std::time::Duration;
 
@@ -10,34 +10,35 @@
 use crate::outliers::TargetOutcomes;
 use crate::slots::SlotGroup;
 
-/// What a request needs of a place in a group.
+/// Requirements of a request that is to be placed in a group.
 #[derive(Debug)]
 pub(crate) struct GroupRequest<'a> {
-    /// The group.
+    /// Group in which the request is to be placed.
     pub(crate) group: &'a SlotGroup,
-    /// Targets that are no use to it.
+    /// Hashes of the targets that the request must not be sent to.
     pub(crate) avoided: &'a [u32],
-    /// Whether a place in a queue will do.
+    /// Whether the request may wait in the queue of a target.
     pub(crate) may_queue: bool,
-    /// What may be handed out of the rate of cold targets.
+    /// Share of the rate of cold targets that may be granted.
     pub(crate) share: &'a ColdShare,
 }
 
-/// Where a request goes in a group.
+/// Result of placing a request in a group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum GroupPlacement {
-    /// To this target.
+    /// The request goes to the target with this hash.
     Slot(u32),
-    /// It would wait so long for a slot.
+    /// No slot is free; the request would have to wait this long for one.
     Busy(Duration),
-    /// The group has no target that takes work.
+    /// The group has no target that accepts work.
     Empty,
 }
 
 impl PlacementTable {
     /// Places a request in a group.
     ///
-    /// The owner sees every slot that is taken, so the emptiest target of all is the best one.
+    /// The owner has a record of every occupied slot, so the target with the most free slots is the best
+    /// one.
     pub(crate) fn place_in_group(
         &self,
         request: &GroupRequest<'_>,
@@ -45,17 +46,20 @@
         now: Instant,
     ) -> GroupPlacement {
         let hash = request.group.hash();
-        let usable =
-            self.usable(|entry| entry.group == hash && !request.avoided.contains(&entry.hash), now);
-        let has_rate = |entry: &&PlacementEntry| self.sends_left(entry, request.share, now) > 0;
-        let open: Vec<&PlacementEntry> = usable.iter().copied().filter(has_rate).collect();
-        if let Some(entry) = self.with_free_slot(&open, usize::MAX, random) {
+        let usable = self.usable_targets(
+            |entry| entry.group_hash == hash && !request.avoided.contains(&entry.hash),
+            now,
+        );
+        let has_rate =
+            |entry: &&PlacementEntry| self.remaining_sends(entry, request.share, now) > 0;
+        let available: Vec<&PlacementEntry> = usable.iter().copied().filter(has_rate).collect();
+        if let Some(entry) = self.pick_free_slot(&available, usize::MAX, random) {
             return GroupPlacement::Slot(entry.hash);
         }
-        if let Some(entry) = self.with_batch(&open, random) {
+        if let Some(entry) = self.pick_preemptible(&available, random) {
             return GroupPlacement::Slot(entry.hash);
         }
-        match self.shortest_queue(&open, random) {
+        match self.shortest_queue(&available, random) {
             None => {
                 self.cold_wait(&usable, now).map_or(GroupPlacement::Empty, GroupPlacement::Busy)
             }
@@ -64,7 +68,7 @@
         }
     }
 
-    /// Targets of a group with slots that batch items may enter, and how many.
+    /// Returns the targets of a group with free slots for batch items, and the number of those slots.
     pub(crate) fn free_for_items(
         &self,
         group: &SlotGroup,
@@ -72,25 +76,30 @@
         now: Instant,
     ) -> Vec<(u32, u32)> {
         let hash = group.hash();
-        let open = self.entries.values().filter(|entry| entry.group == hash && entry.is_open(now));
-        let free = open.map(|entry| {
+        let available = self
+            .entries
+            .values()
+            .filter(|entry| entry.group_hash == hash && entry.is_available(now));
+        let free = available.map(|entry| {
             let slots = self.batch_slots(entry).saturating_sub(entry.total());
-            let rate = self.items_left(entry, share, now);
+            let rate = self.remaining_items(entry, share, now);
             (entry.hash, slots.min(u32::try_from(rate).unwrap_or(u32::MAX)))
         });
         free.filter(|(_, slots)| *slots > 0).collect()
     }
 
-    /// Slots of a target that batch items may enter. A doubtful one gets a single item, which can run
-    /// again elsewhere: without it nobody would see that the target has recovered.
+    /// Returns the number of slots of a target that batch items may occupy. An outlier gets a single
+    /// item, which can run again elsewhere: without it, no host would notice that the target has
+    /// recovered.
     fn batch_slots(&self, entry: &PlacementEntry) -> u32 {
         if self.is_outlier(entry) { entry.target.slots.min(1) } else { entry.target.slots }
     }
 
-    /// Targets of a group with more work than slots: by how much, and this host's items there.
+    /// Returns the targets of a group with more work than slots: the target, the number of items to
+    /// preempt, and the number of this host's items there.
     pub(crate) fn overfull(&self, group: &SlotGroup) -> Vec<(u32, u32, u32)> {
         let hash = group.hash();
-        let entries = self.entries.values().filter(|entry| entry.group == hash);
+        let entries = self.entries.values().filter(|entry| entry.group_hash == hash);
         let over = entries.map(|entry| {
             let over = entry.in_flight().saturating_sub(entry.target.slots).min(entry.batch());
             (entry.hash, over, entry.own_batch)
@@ -98,46 +107,52 @@
         over.filter(|(_, over, _)| *over > 0).collect()
     }
 
-    /// The groups of a pool with targets that take work.
+    /// Returns the groups of a pool with targets that accept work.
     pub fn groups(&self, pool: &str) -> Vec<SlotGroup> {
-        let serving = |group: u32| {
-            self.entries.values().any(|entry| entry.group == group && entry.takes_work())
+        let has_serving_target = |group: u32| {
+            self.entries.values().any(|entry| entry.group_hash == group && entry.accepts_work())
         };
         let of_pool = self.groups.iter().filter(|(_, group)| &*group.pool == pool);
-        of_pool.filter(|(hash, _)| serving(**hash)).map(|(_, group)| group.clone()).collect()
+        of_pool
+            .filter(|(hash, _)| has_serving_target(**hash))
+            .map(|(_, group)| group.clone())
+            .collect()
     }
 
-    /// All groups that had a target.
+    /// Returns all groups that ever had a target.
     pub fn all_groups(&self) -> Vec<SlotGroup> {
         self.groups.values().cloned().collect()
     }
 
-    /// A group by its short form.
+    /// Returns the group with this hash.
     pub fn group_of(&self, hash: u32) -> Option<&SlotGroup> {
         self.groups.get(&hash)
     }
 
-    /// A target by its short form.
+    /// Returns the target with this hash.
     pub fn by_hash(&self, hash: u32) -> Option<&FleetTarget> {
         self.hashes.get(&hash).and_then(|id| self.get(id))
     }
 
-    /// The target of a grant, if it still takes work here.
+    /// Returns the target of a grant, unless it is unknown to this host or no longer accepts work.
     pub fn granted(&self, hash: u32) -> Option<&FleetTarget> {
         let entry = self.hashes.get(&hash).and_then(|id| self.entries.get(id));
-        entry.filter(|entry| entry.takes_work()).map(|entry| &entry.target)
+        entry.filter(|entry| entry.accepts_work()).map(|entry| &entry.target)
     }
 
-    /// Whether this host has anything in flight in a group.
+    /// Returns whether this host has work in flight in a group.
     pub fn is_busy_in(&self, group: &SlotGroup) -> bool {
         let hash = group.hash();
-        self.entries.values().any(|entry| entry.group == hash && entry.own() > 0)
+        self.entries.values().any(|entry| entry.group_hash == hash && entry.own_in_flight() > 0)
     }
 
-    /// What this host has in flight in a group.
+    /// Returns what this host has in flight in a group.
     pub fn own_loads(&self, group: &SlotGroup) -> Vec<TargetLoad> {
         let hash = group.hash();
-        let busy = self.entries.values().filter(|entry| entry.group == hash && entry.own() > 0);
+        let busy = self
+            .entries
+            .values()
+            .filter(|entry| entry.group_hash == hash && entry.own_in_flight() > 0);
         busy.map(|entry| TargetLoad {
             target: entry.hash,
             online: entry.own_online.min(u32::from(u16::MAX)) as u16,
@@ -146,30 +161,33 @@
         .collect()
     }
 
-    /// What came of this host's sends to failing targets of a group.
+    /// Returns the outcomes of this host's sends to failing targets of a group.
     pub fn own_outcomes(&self, group: &SlotGroup, now: Instant) -> Vec<TargetOutcomes> {
         let hash = group.hash();
-        let in_group = |told: &TargetOutcomes| {
-            let id = self.hashes.get(&told.target);
-            id.and_then(|id| self.entries.get(id)).is_some_and(|entry| entry.group == hash)
+        let in_group = |outcomes: &TargetOutcomes| {
+            let id = self.hashes.get(&outcomes.target);
+            id.and_then(|id| self.entries.get(id)).is_some_and(|entry| entry.group_hash == hash)
         };
         self.outliers.advertised(now).into_iter().filter(in_group).collect()
     }
 
-    /// Targets of a group that this host sends nothing now: they refused it or broke off.
+    /// Returns the targets of a group to which this host sends nothing for now: those that recently
+    /// refused a request or failed, and those that are draining or in a drained zone.
     pub fn avoided(&self, group: &SlotGroup, now: Instant) -> Vec<u32> {
         let hash = group.hash();
-        let closed =
-            self.entries.values().filter(|entry| entry.group == hash && !entry.is_open(now));
-        closed.map(|entry| entry.hash).collect()
+        let unavailable = self
+            .entries
+            .values()
+            .filter(|entry| entry.group_hash == hash && !entry.is_available(now));
+        unavailable.map(|entry| entry.hash).collect()
     }
 
-    /// The zones of targets.
+    /// Returns the zones of targets.
     pub fn zones_of(&self, ids: &[Name]) -> Vec<AvailabilityZone> {
         ids.iter().filter_map(|id| self.get(id)).map(|target| target.zone.clone()).collect()
     }
 
-    /// The short forms of targets.
+    /// Returns the hashes of targets.
     pub fn hashes_of(&self, ids: &[Name]) -> Vec<u32> {
         ids.iter().filter_map(|id| self.entries.get(id)).map(|entry| entry.hash).collect()
     }
--- a/crates/cuminramp-fleet/src/placement/placing.rs
+++ b/crates/cuminramp-fleet/src/placement/placing.rs
@@ -1,4 +1,4 @@
-//! Which target a request goes to, or when it should come back.
+//! Choice of the target for a request, or of the time after which its caller should retry.
 
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 use super::{ColdShare, PlacementDecision, PlacementEntry, PlacementRequest, PlacementTable};
 use crate::slots::retry_after;
 
-/// Targets that a request chooses among where no owner decides: enough to find one of the caller's zone
-/// with room, few enough that hosts choose differently.
-const CHOICES: usize = 4;
+/// Maximum number of random targets that a request chooses among where no owner decides: enough to find
+/// one in the caller's zone with a free slot, few enough that hosts choose differently.
+const MAX_CHOICES: usize = 4;
 
-/// Seconds that work of a host that is gone still takes a slot, on average: most of it are items.
+/// Average time in seconds for which orphaned work still occupies a slot; most of it is batch items.
 const ORPHANED_HOLD_S: f64 = 2.0;
-/// The least time in seconds that a request is taken to hold a slot.
-const LEAST_HOLD_S: f64 = 0.001;
+/// Minimum time in seconds for which a request is assumed to hold a slot.
+const MIN_HOLD_S: f64 = 0.001;
 
 impl PlacementTable {
-    /// Places a request by what this host knows itself, where no owner of slots can be asked. `share` is
-    /// what it may send to cold targets alone.
+    /// Places a request by what this host itself has recorded, where no owner of slots can be reached.
+    /// `share` is what this host may send to cold targets without an owner.
     pub fn place(
         &self,
         request: &PlacementRequest<'_>,
@@ -32,32 +32,33 @@
                 && !request.tried.contains(&entry.target.id)
                 && request.zones.allows(&entry.target.zone)
         };
-        let usable = self.usable(of_pool, now);
-        let has_rate = |entry: &&PlacementEntry| self.sends_left(entry, share, now) > 0;
-        let open: Vec<&PlacementEntry> = usable.iter().copied().filter(has_rate).collect();
-        if open.is_empty()
+        let usable = self.usable_targets(of_pool, now);
+        let has_rate = |entry: &&PlacementEntry| self.remaining_sends(entry, share, now) > 0;
+        let available: Vec<&PlacementEntry> = usable.iter().copied().filter(has_rate).collect();
+        if available.is_empty()
             && let Some(wait) = self.cold_wait(&usable, now)
         {
             return PlacementDecision::Full(retry_after(wait, random));
         }
-        if let Some(entry) = self.with_free_slot(&open, CHOICES, random) {
+        if let Some(entry) = self.pick_free_slot(&available, MAX_CHOICES, random) {
             return PlacementDecision::Send(entry.target.clone());
         }
-        if let Some(entry) = self.with_batch(&open, random) {
+        if let Some(entry) = self.pick_preemptible(&available, random) {
             return PlacementDecision::Send(entry.target.clone());
         }
-        self.wait_or_return(&open, request, random)
+        self.queue_or_refuse(&available, request, random)
     }
 
-    /// A request that would wait longer than its part of the objective is worth more when it comes
-    /// back while there is room.
-    fn wait_or_return(
+    /// Sends a request to the target with the shortest queue, or refuses it if it would wait longer than
+    /// its share of the objective: a retry that arrives when slots are free is worth more than a late
+    /// answer.
+    fn queue_or_refuse(
         &self,
-        open: &[&PlacementEntry],
+        available: &[&PlacementEntry],
         request: &PlacementRequest<'_>,
         random: &mut dyn RandomSource,
     ) -> PlacementDecision {
-        let Some((wait, entry)) = self.shortest_queue(open, random) else {
+        let Some((wait, entry)) = self.shortest_queue(available, random) else {
             return PlacementDecision::Nowhere;
         };
         if wait <= request.objective.mul_f64(self.policy.wait_share) || request.is_retry {
@@ -66,86 +67,97 @@
         PlacementDecision::Full(retry_after(wait, random))
     }
 
-    /// Targets that take work and don't fail too much of it. Where more than half are doubtful, doubt is
-    /// no guide any more; where all are paused, one that failed lately is better than none.
-    pub(super) fn usable<'a>(
+    /// Returns the targets that are available and not outliers. Where more than half of those available
+    /// are outliers, the detection no longer separates good targets from bad ones and all of them are
+    /// returned; where none is available, all that accept work are returned, since a target that failed
+    /// recently is better than none.
+    pub(super) fn usable_targets<'a>(
         &'a self,
         of_pool: impl Fn(&&'a PlacementEntry) -> bool,
         now: Instant,
     ) -> Vec<&'a PlacementEntry> {
-        let open: Vec<&PlacementEntry> =
-            self.entries.values().filter(&of_pool).filter(|entry| entry.is_open(now)).collect();
-        if open.is_empty() {
-            let serving = self.entries.values().filter(|entry| entry.takes_work());
+        let available: Vec<&PlacementEntry> = self
+            .entries
+            .values()
+            .filter(&of_pool)
+            .filter(|entry| entry.is_available(now))
+            .collect();
+        if available.is_empty() {
+            let serving = self.entries.values().filter(|entry| entry.accepts_work());
             return serving.filter(&of_pool).collect();
         }
-        let sound: Vec<&PlacementEntry> =
-            open.iter().copied().filter(|entry| !self.is_outlier(entry)).collect();
-        if sound.len() * 2 < open.len() { open } else { sound }
+        let healthy: Vec<&PlacementEntry> =
+            available.iter().copied().filter(|entry| !self.is_outlier(entry)).collect();
+        if healthy.len() * 2 < available.len() { available } else { healthy }
     }
 
-    /// The best of so many targets with a free slot, drawn by chance.
+    /// Returns the best of at most `choices` randomly drawn targets with a free slot.
     ///
-    /// A host that decides by itself does not know what others have in flight. Did every such host take
-    /// the emptiest target of all, a queue would form before it while others stand empty.
-    pub(super) fn with_free_slot<'a>(
+    /// A host that decides by itself doesn't have the loads of other hosts. If every one of these hosts
+    /// picked the target with the most free slots, a queue would form there while other targets stand
+    /// empty.
+    pub(super) fn pick_free_slot<'a>(
         &self,
-        open: &[&'a PlacementEntry],
+        available: &[&'a PlacementEntry],
         choices: usize,
         random: &mut dyn RandomSource,
     ) -> Option<&'a PlacementEntry> {
-        let free = open.iter().filter(|entry| entry.total() < entry.target.slots);
-        let mut drawn: Vec<(usize, &PlacementEntry)> =
+        let free = available.iter().filter(|entry| entry.total() < entry.target.slots);
+        let mut candidates: Vec<(usize, &PlacementEntry)> =
             free.map(|entry| (random.below(1 << 16), *entry)).collect();
-        drawn.sort_by_key(|drawn| drawn.0);
-        drawn.truncate(choices);
-        let rated = drawn.into_iter().map(|(_, entry)| (self.rate_free(entry), entry));
-        rated.max_by(|left, right| left.0.total_cmp(&right.0)).map(|rated| rated.1)
+        candidates.sort_by_key(|candidate| candidate.0);
+        candidates.truncate(choices);
+        let scored = candidates.into_iter().map(|(_, entry)| (self.score_free(entry), entry));
+        scored.max_by(|left, right| left.0.total_cmp(&right.0)).map(|best| best.1)
     }
 
-    /// How much a target with free slots is preferred.
-    fn rate_free(&self, entry: &PlacementEntry) -> f64 {
+    /// Returns the score of a target with free slots; the highest is preferred.
+    fn score_free(&self, entry: &PlacementEntry) -> f64 {
         let is_near = entry.target.zone == self.zone;
         let bonus = if is_near { self.policy.zone_bonus } else { 0 };
-        let failing = self.outliers.failure_rate(entry.hash) * f64::from(entry.target.slots);
-        f64::from(entry.target.slots - entry.total() + bonus) - failing
+        let penalty = self.outliers.failure_rate(entry.hash) * f64::from(entry.target.slots);
+        f64::from(entry.target.slots - entry.total() + bonus) - penalty
     }
 
-    /// A target where batch items give way: one where this host holds an item goes first, since it
-    /// breaks that off before the request is sent.
-    pub(super) fn with_batch<'a>(
+    /// Returns the target where a batch item is best preempted: one with the fewest items beyond its
+    /// slots, and among those one where this host holds an item, since this host cancels that item before
+    /// it sends the request.
+    pub(super) fn pick_preemptible<'a>(
         &self,
-        open: &[&'a PlacementEntry],
+        available: &[&'a PlacementEntry],
         random: &mut dyn RandomSource,
     ) -> Option<&'a PlacementEntry> {
-        let yielding =
-            open.iter().filter(|entry| entry.batch() > 0 && entry.firm() < entry.target.slots);
-        let rated = yielding.map(|entry| {
+        let preemptible = available
+            .iter()
+            .filter(|entry| entry.batch() > 0 && entry.non_preemptible() < entry.target.slots);
+        let scored = preemptible.map(|entry| {
             let is_near = entry.target.zone == self.zone;
             let over = entry.total().saturating_sub(entry.target.slots);
             let is_own = entry.own_batch > 0;
             ((std::cmp::Reverse(over), is_own, is_near, random.below(1 << 16)), *entry)
         });
-        rated.max_by_key(|rated| rated.0).map(|rated| rated.1)
+        scored.max_by_key(|candidate| candidate.0).map(|best| best.1)
     }
 
-    /// The target whose queue is shortest, and how long a request would wait there: a slot comes free
-    /// about every `hold / slots`, less often where work of hosts that are gone takes slots.
+    /// Returns the target with the shortest queue, and the time for which a request would wait there: a
+    /// slot becomes free about every `average_hold / slots`, less often where orphaned work occupies
+    /// slots.
     pub(super) fn shortest_queue<'a>(
         &self,
-        open: &[&'a PlacementEntry],
+        available: &[&'a PlacementEntry],
         random: &mut dyn RandomSource,
     ) -> Option<(Duration, &'a PlacementEntry)> {
-        let waiting = |entry: &PlacementEntry| {
-            let over = entry.firm().saturating_sub(entry.target.slots) + 1;
+        let expected_wait = |entry: &PlacementEntry| {
+            let over = entry.non_preemptible().saturating_sub(entry.target.slots) + 1;
             let slots = entry.target.slots.max(1);
-            let orphaned = entry.orphaned.left().min(slots);
-            let ends_a_second = f64::from(slots - orphaned)
-                / self.hold.as_secs_f64().max(LEAST_HOLD_S)
+            let orphaned = entry.orphaned.remaining().min(slots);
+            let slots_freed_per_s = f64::from(slots - orphaned)
+                / self.average_hold.as_secs_f64().max(MIN_HOLD_S)
                 + f64::from(orphaned) / ORPHANED_HOLD_S;
-            Duration::from_secs_f64(f64::from(over) / ends_a_second)
+            Duration::from_secs_f64(f64::from(over) / slots_freed_per_s)
         };
-        let rated = open.iter().map(|entry| ((waiting(entry), random.below(1 << 16)), *entry));
-        rated.min_by_key(|(rank, _)| *rank).map(|((wait, _), entry)| (wait, entry))
+        let scored =
+            available.iter().map(|entry| ((expected_wait(entry), random.below(1 << 16)), *entry));
+        scored.min_by_key(|(rank, _)| *rank).map(|((wait, _), entry)| (wait, entry))
     }
 }
--- a/crates/cuminramp-fleet/src/placement/tests.rs
+++ b/crates/cuminramp-fleet/src/placement/tests.rs
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_little_more_room_is_not_worth_another_zone() {
+async fn one_more_free_slot_does_not_outweigh_the_zone_bonus() {
     let mut placement = placement(&[("e1", "z1"), ("e2", "z2")]);
     placement.receive_loads(&host("b"), vec![load("e1", 3, 0), load("e2", 2, 0)]);
     assert_eq!(place(&placement, &request(false, &[])).as_deref(), Some("e1"));
@@ -77,28 +77,30 @@
     assert_eq!(place(&placement, &request(false, &[])).as_deref(), Some("e2"));
 }
 
-/// More callers come than all slots can serve in time. One that would wait too long learns so at
-/// once and when to come back; one that has come back is served.
+/// Guards against requests that wait in a queue only to be answered too late. More callers arrive than
+/// all slots can serve in time: one that would wait too long is refused at once with the time after which
+/// to retry, and its retry is served.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_would_be_late_is_turned_away_at_once_but_only_once() {
+async fn a_request_that_would_be_late_is_refused_at_once_but_only_once() {
     let mut placement = placement(&[("e1", "z1")]);
     placement.receive_loads(&host("b"), vec![load("e1", 9, 0)]);
     let in_time = place(&placement, &request(false, &[]));
     placement.receive_loads(&host("b"), vec![load("e1", 12, 0)]);
 
     let refused = try_place(&placement);
-    let again = place(&placement, &request(true, &[]));
+    let retried = place(&placement, &request(true, &[]));
 
     assert_eq!(in_time.as_deref(), Some("e1"));
     assert!(
         matches!(refused, PlacementDecision::Full(after) if after >= Duration::from_millis(250))
     );
-    assert_eq!(again.as_deref(), Some("e1"));
+    assert_eq!(retried.as_deref(), Some("e1"));
 }
 
-/// A target resets each connection. Requests that went on to it would all need a second attempt.
+/// Guards against requests that all need a second attempt, since they are sent to a target that resets
+/// each connection.
 #[tokio::test(start_paused = true)]
-async fn a_target_that_failed_gets_nothing_for_a_while() {
+async fn a_failed_target_receives_no_work_during_its_backoff() {
     let mut placement = placement(&[("e1", "z1"), ("e2", "z1"), ("e3", "z1")]);
     placement.receive_loads(&host("b"), vec![load("e2", 2, 0), load("e3", 2, 0)]);
 
@@ -112,7 +114,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_draining_target_gets_nothing_new() {
+async fn a_draining_target_receives_no_new_work() {
     let mut placement = placement(&[("e1", "z1")]);
 
     placement.put(FleetTarget { phase: TargetPhase::Draining, ..target("e1", "z1") });
@@ -122,7 +124,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_load_of_a_host_that_is_gone_no_longer_counts() {
+async fn the_load_of_a_host_that_is_gone_is_dropped() {
     let mut placement = placement(&[("e1", "z1")]);
     placement.receive_loads(&host("b"), vec![load("e1", 8, 0)]);
 
@@ -131,16 +133,16 @@
     assert_eq!(placement.occupancy("p"), (0, 8));
 }
 
-/// Guards against a zone that is given up for one connection that failed, or for good.
+/// Guards against a zone that counts as unreachable after one failed connection, or for good.
 #[tokio::test(start_paused = true)]
-async fn a_zone_is_out_of_reach_after_failures_in_a_row_and_tried_again_later() {
+async fn a_zone_is_unreachable_after_consecutive_failures_and_retried_later() {
     let mut placement = placement(&[("e1", "z1"), ("e2", "z2")]);
-    let mut seen = Vec::new();
+    let mut after_each_failure = Vec::new();
     for _ in 0..3 {
         placement.record_unreachable("e2", Instant::now());
-        seen.push(placement.is_unreachable("z2", Instant::now()));
+        after_each_failure.push(placement.is_unreachable("z2", Instant::now()));
     }
-    let other = placement.is_unreachable("z1", Instant::now());
+    let other_zone = placement.is_unreachable("z1", Instant::now());
 
     tokio::time::advance(Duration::from_millis(1_100)).await;
     let later = placement.is_unreachable("z2", Instant::now());
@@ -148,6 +150,6 @@
     placement.record_unreachable("e2", Instant::now());
     let after_success = placement.is_unreachable("z2", Instant::now());
 
-    assert_eq!(seen, [false, false, true]);
-    assert_eq!((other, later, after_success), (false, false, false));
+    assert_eq!(after_each_failure, [false, false, true]);
+    assert_eq!((other_zone, later, after_success), (false, false, false));
 }
