--- a/crates/cuminramp-fleet/src/homes.rs
+++ b/crates/cuminramp-fleet/src/homes.rs
@@ -1,19 +1,20 @@
-//! Regions in which work may run.
+//! Home regions, which limit where work may run.
 //!
 //! A route and a team may each name home regions. A request, or an item of a job, then reaches only
-//! targets in regions that both allow, and callers are sent to hosts of their own region or a home.
+//! targets in regions that both allow, and callers are directed to hosts in their own region or a home
+//! region.
 
 use cuminramp_core::{AvailabilityZone, Name, SortedMap};
 
-/// The zones in which a piece of work may run.
+/// Availability zones in which a request or an item may run.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ZoneLimit {
-    /// In the order of their names; `None` where every zone will do.
+    /// Allowed zones, sorted by name; `None` if every zone is allowed.
     allowed: Option<Vec<AvailabilityZone>>,
 }
 
 impl ZoneLimit {
-    /// Allows every zone.
+    /// Creates a limit that allows every zone.
     ///
     /// ```
     /// assert!(cuminramp_fleet::ZoneLimit::none().allows("anywhere"));
@@ -22,21 +23,21 @@
         ZoneLimit::default()
     }
 
-    /// Whether work may run in a zone.
+    /// Returns whether work may run in a zone.
     pub fn allows(&self, zone: &str) -> bool {
         let Some(allowed) = &self.allowed else { return true };
-        allowed.binary_search_by(|held| (**held).cmp(zone)).is_ok()
+        allowed.binary_search_by(|entry| (**entry).cmp(zone)).is_ok()
     }
 }
 
-/// The region of each zone, as operators set it.
+/// Region of each availability zone, as set by operators.
 #[derive(Clone, Debug, Default)]
 pub struct RegionMap {
     regions: SortedMap<AvailabilityZone, Name>,
 }
 
 impl RegionMap {
-    /// A map of zones to their regions.
+    /// Creates a map from pairs of zone and region.
     ///
     /// ```
     /// use cuminramp_fleet::RegionMap;
@@ -48,23 +49,23 @@
         RegionMap { regions: zones.into_iter().collect() }
     }
 
-    /// The zones of a region.
+    /// Returns the zones of a region.
     pub fn zones_of(&self, region: &str) -> Vec<AvailabilityZone> {
-        let zones = self.regions.iter().filter(|(_, held)| ***held == *region);
+        let zones = self.regions.iter().filter(|(_, of_zone)| ***of_zone == *region);
         zones.map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// Where work of a route and a team with these homes may run. A zone whose region nobody set is in
-    /// no home.
+    /// Returns the zones in which work of a route and a team with these home regions may run. A zone
+    /// without a configured region is in no home region.
     pub fn limit(&self, route_homes: &[Name], team_homes: &[Name]) -> ZoneLimit {
         if route_homes.is_empty() && team_homes.is_empty() {
             return ZoneLimit::none();
         }
-        let holds = |homes: &[Name], region: &Name| homes.is_empty() || homes.contains(region);
+        let allows = |homes: &[Name], region: &Name| homes.is_empty() || homes.contains(region);
         let allowed = self
             .regions
             .iter()
-            .filter(|(_, region)| holds(route_homes, region) && holds(team_homes, region));
+            .filter(|(_, region)| allows(route_homes, region) && allows(team_homes, region));
         ZoneLimit { allowed: Some(allowed.map(|(zone, _)| zone.clone()).collect()) }
     }
 }
--- a/crates/cuminramp-fleet/src/homes/tests.rs
+++ b/crates/cuminramp-fleet/src/homes/tests.rs
@@ -3,7 +3,7 @@
 
 use super::RegionMap;
 
-fn map() -> RegionMap {
+fn region_map() -> RegionMap {
     RegionMap::new([
         ("a1".into(), "a".into()),
         ("a2".into(), "a".into()),
@@ -16,14 +16,14 @@
     words.iter().map(|word| Name::from(*word)).collect()
 }
 
-/// Guards against work that runs outside the regions which route and team both allow.
+/// Guards against work that runs outside the regions that both the route and the team allow.
 #[test_case(&[], &[], &["a1", "a2", "b1", "c1", "unset"]; "no homes")]
 #[test_case(&["a"], &[], &["a1", "a2"]; "the route's")]
 #[test_case(&[], &["b", "c"], &["b1", "c1"]; "the team's")]
 #[test_case(&["a", "b"], &["b", "c"], &["b1"]; "both bind")]
 #[test_case(&["a"], &["b"], &[]; "none in common")]
-fn work_runs_only_where_both_allow_it(route: &[&str], team: &[&str], allowed: &[&str]) {
-    let limit = map().limit(&names(route), &names(team));
+fn work_runs_only_where_route_and_team_allow_it(route: &[&str], team: &[&str], allowed: &[&str]) {
+    let limit = region_map().limit(&names(route), &names(team));
 
     let zones = ["a1", "a2", "b1", "c1", "unset"];
     let found: Vec<&str> = zones.into_iter().filter(|zone| limit.allows(zone)).collect();
