--- a/crates/cuminramp-fleet/src/drains.rs
+++ b/crates/cuminramp-fleet/src/drains.rs
@@ -1,8 +1,8 @@
-//! Availability zones that operators drained: their targets get nothing new.
+//! Availability zones that operators drained, whose targets receive no new work.
 //!
-//! A drain is a row that an operator writes, and deletes when the zone is to be used again. Hosts follow
-//! the table, and tell each other in heartbeats, so that one that the store does not reach knows it too.
-//! For each zone the newest version wins, whoever tells it.
+//! A drain is a row that an operator writes, and deletes when the zone is to be used again. Hosts watch
+//! the table, and advertise drains in heartbeats, so that a host that doesn't reach the store applies
+//! them too. For each zone the newest version takes effect, whichever source reports it.
 
 use std::time::Duration;
 
@@ -10,27 +10,28 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// How long every heartbeat carries the end of a drain; whole ones always do.
-const TELL_ENDS_FOR: Duration = Duration::from_secs(10);
+/// Time for which every heartbeat carries the end of a drain; full heartbeats always do.
+const ENDED_DRAIN_WINDOW: Duration = Duration::from_secs(10);
 
-/// What an operator ordered for one zone.
+/// State of the drain of one zone, as ordered by an operator.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ZoneDrain {
-    /// The zone.
+    /// Zone to which the drain applies.
     pub zone: AvailabilityZone,
-    /// The store's version of the write that ordered or ended it.
+    /// Version in the store of the write that ordered or ended the drain.
     pub version: u64,
-    /// Whether its targets get nothing new; otherwise the drain has ended.
+    /// Whether the drain is in force and the zone's targets receive no new work; `false` once it has
+    /// ended.
     pub is_drained: bool,
 }
 
 #[derive(Debug)]
 struct DrainRecord {
     drain: ZoneDrain,
-    known_at: Instant,
+    recorded_at: Instant,
 }
 
-/// The newest order for each zone.
+/// Newest known state of the drain of each zone.
 ///
 /// ```
 /// use cuminramp_fleet::{DrainTable, ZoneDrain};
@@ -47,18 +48,19 @@
 }
 
 impl DrainTable {
-    /// Takes an order if it is newer than what is known of its zone; says whether it was.
+    /// Records a drain if it is newer than the recorded one of its zone, and returns whether it was.
     pub fn offer(&mut self, drain: ZoneDrain, now: Instant) -> bool {
-        let held = self.records.get(&drain.zone);
-        if held.is_some_and(|record| record.drain.version >= drain.version) {
+        let recorded = self.records.get(&drain.zone);
+        if recorded.is_some_and(|record| record.drain.version >= drain.version) {
             return false;
         }
-        self.records.insert(drain.zone.clone(), DrainRecord { drain, known_at: now });
+        self.records.insert(drain.zone.clone(), DrainRecord { drain, recorded_at: now });
         true
     }
 
-    /// Takes all orders that the store holds at `version`; says which are news. A zone that is drained
-    /// here and not listed there was taken back, unless the read is older than the drain.
+    /// Applies a full snapshot of the store at `version`, and returns the drains that changed. A zone
+    /// that is drained in this table and not listed in the snapshot is no longer drained, unless the
+    /// snapshot is older than its drain.
     pub fn apply_snapshot(
         &mut self,
         listed: Vec<ZoneDrain>,
@@ -66,25 +68,26 @@
         now: Instant,
     ) -> Vec<ZoneDrain> {
         let is_listed = |zone: &AvailabilityZone| listed.iter().any(|drain| drain.zone == *zone);
-        let lacking = self.drained().into_iter().filter(|zone| !is_listed(zone));
-        let ended = lacking.map(|zone| ZoneDrain { zone, version, is_drained: false });
-        let offered: Vec<ZoneDrain> = ended.chain(listed.iter().cloned()).collect();
-        offered.into_iter().filter(|drain| self.offer(drain.clone(), now)).collect()
+        let unlisted = self.drained().into_iter().filter(|zone| !is_listed(zone));
+        let ended = unlisted.map(|zone| ZoneDrain { zone, version, is_drained: false });
+        let candidates: Vec<ZoneDrain> = ended.chain(listed.iter().cloned()).collect();
+        candidates.into_iter().filter(|drain| self.offer(drain.clone(), now)).collect()
     }
 
-    /// The zones whose targets get nothing new, in the order of their names.
+    /// Returns the zones whose targets receive no new work, sorted by name.
     pub fn drained(&self) -> Vec<AvailabilityZone> {
         let drained = self.records.iter().filter(|(_, record)| record.drain.is_drained);
         drained.map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// What a heartbeat tells: every drain in force, and ends of drains, all of them where it is whole.
-    pub fn advertised(&self, is_whole: bool, now: Instant) -> Vec<ZoneDrain> {
-        let is_told = |record: &&DrainRecord| {
-            let is_recent = now.duration_since(record.known_at) < TELL_ENDS_FOR;
-            is_whole || record.drain.is_drained || is_recent
+    /// Returns the drains that a heartbeat advertises: every drain in force, and the ends of drains, all
+    /// of them in a full heartbeat and recent ones in others.
+    pub fn advertised(&self, is_full: bool, now: Instant) -> Vec<ZoneDrain> {
+        let is_advertised = |record: &&DrainRecord| {
+            let is_recent = now.duration_since(record.recorded_at) < ENDED_DRAIN_WINDOW;
+            is_full || record.drain.is_drained || is_recent
         };
-        self.records.values().filter(is_told).map(|record| record.drain.clone()).collect()
+        self.records.values().filter(is_advertised).map(|record| record.drain.clone()).collect()
     }
 }
 
--- a/crates/cuminramp-fleet/src/drains/tests.rs
+++ b/crates/cuminramp-fleet/src/drains/tests.rs
@@ -16,39 +16,40 @@
     table
 }
 
-/// Guards against a drain that comes back: a host that was cut off tells what it knew before.
+/// Guards against a drain that comes back after it was ended: a host that was cut off reports the state
+/// from before.
 #[tokio::test(start_paused = true)]
-async fn an_older_order_never_replaces_a_newer_one() {
+async fn an_older_drain_never_replaces_a_newer_one() {
     let mut table = table(&[drain("z1", 5, true), drain("z1", 9, false)]);
 
-    let is_news = table.offer(drain("z1", 5, true), Instant::now());
+    let is_newer = table.offer(drain("z1", 5, true), Instant::now());
 
-    assert!(!is_news);
+    assert!(!is_newer);
     assert!(table.drained().is_empty());
 }
 
-/// Guards against a read of the store that was answered late and ends a drain ordered since.
+/// Guards against a snapshot of the store that arrives late and ends a drain ordered since.
 #[tokio::test(start_paused = true)]
-async fn a_whole_read_ends_only_drains_that_are_older() {
+async fn a_snapshot_ends_only_older_drains() {
     let mut table = table(&[drain("z1", 5, true), drain("z2", 20, true)]);
 
-    let news = table.apply_snapshot(vec![drain("z3", 8, true)], 10, Instant::now());
+    let updates = table.apply_snapshot(vec![drain("z3", 8, true)], 10, Instant::now());
 
-    assert_eq!(news, [drain("z1", 10, false), drain("z3", 8, true)]);
+    assert_eq!(updates, [drain("z1", 10, false), drain("z3", 8, true)]);
     assert_eq!(table.drained(), ["z2".into(), "z3".into()]);
 }
 
-/// Guards against a host that misses the store and hears of a drain in none of the heartbeats.
+/// Guards against a host that can't reach the store and receives a drain in none of the heartbeats.
 #[tokio::test(start_paused = true)]
-async fn every_heartbeat_tells_drains_in_force_and_late_ones_leave_ends_out() {
+async fn every_heartbeat_advertises_drains_in_force_and_omits_ends_after_a_while() {
     let table = table(&[drain("z1", 5, true), drain("z2", 6, false)]);
 
     let at_once = table.advertised(false, Instant::now());
     advance(Duration::from_secs(60)).await;
     let late = table.advertised(false, Instant::now());
-    let whole = table.advertised(true, Instant::now());
+    let full = table.advertised(true, Instant::now());
 
     assert_eq!(at_once.len(), 2);
     assert_eq!(late, [drain("z1", 5, true)]);
-    assert_eq!(whole.len(), 2);
+    assert_eq!(full.len(), 2);
 }
