--- a/crates/cuminramp-fleet/src/quota.rs
+++ b/crates/cuminramp-fleet/src/quota.rs
@@ -1,21 +1,22 @@
-//! Rate and burst of teams over all hosts, by counts that hosts tell each other.
+//! Fleet-wide rate and burst limits of teams, enforced with admission counts from heartbeats.
 //!
-//! Each host keeps, for each team, a bucket of the whole fleet: what it admits itself is taken out at
-//! once, and what others admitted when their heartbeat says so. A heartbeat carries the count since the
-//! sender's start, so a lost or repeated one changes nothing in the end.
+//! Each host maintains one token bucket per team that stands for the whole fleet. It deducts its own
+//! admissions at once, and those of other hosts when it receives their heartbeats. A heartbeat carries
+//! the number of admissions since the sender's start, so a later heartbeat makes up for a lost one and a
+//! repeated one changes nothing.
 //!
-//! Between two heartbeats hosts may spend the same token twice; the bucket then goes below zero, and the
-//! debt is paid before the next request. The excess in any window is at most what arrives in the
-//! time that a heartbeat takes.
+//! Between two heartbeats, hosts may spend the same token twice. The bucket then goes below zero, and the
+//! debt must be refilled before the next admission. The excess in any window is at most the number of
+//! requests that arrive before a heartbeat does.
 //!
-//! A host that is not heard may be dead, or cut off and serving, and then it spends from the same
-//! bucket. So each admission costs as many tokens as there are hosts for each one heard: the parts
-//! of a divided fleet stay within the rate together, however long the division lasts. What another
-//! host of the part admitted costs the same here, or a part of several hosts spends more than its
-//! share: four and seven of eleven hosts together spent 1.6 times the rate.
+//! A silent host may be down, or cut off from this one and still serving; in the latter case it spends
+//! the same tokens. So each admission costs `all / alive` tokens, where `alive` is the number of alive
+//! hosts and `all` the number of all hosts. The partitions of a fleet then stay within the rate
+//! together, for any length of the partition. Admissions reported by alive hosts cost the same: with one
+//! token each, partitions of four and seven hosts out of eleven together spent 1.6 times the rate.
 //!
-//! A process that starts, or was away, does not know what was spent. It begins with a small part of
-//! what the operators tolerate above the rate, and takes over the level of a host that knows better.
+//! A process that has just started or was paused can't know how many tokens are spent. Its buckets start
+//! with a small part of the tolerance that operators state, and it adopts lower levels from settled hosts.
 
 use std::time::Duration;
 
@@ -25,40 +26,44 @@
 use crate::declarations::FleetDeclarations;
 use crate::heartbeat::{HostHeartbeat, TeamUsage, name_hash};
 
-/// Whether a request is within its team's rate and burst.
+/// Result of checking a request against its team's rate and burst.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuotaDecision {
-    /// It is, and was counted.
+    /// The request is within the limits and was counted.
     Admitted,
-    /// It is not; there may be room after so long.
+    /// The request exceeds the limits. Tokens may be available after this delay.
     Exceeded(Duration),
 }
 
-/// How far a team may exceed its rate and burst for a moment, as operators state it.
+/// Excess over a team's rate and burst that operators tolerate within a window: `share` of the requests
+/// that the limits allow in the window, plus `requests`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaTolerance {
-    /// Part of what a window allows.
+    /// Tolerated excess, as a fraction of the requests that the limits allow in the window.
     pub share: f64,
-    /// Requests beside that part.
+    /// Number of requests tolerated in addition to that fraction.
     pub requests: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// The part of the tolerance with which a new fleet begins. All hosts may be killed twice within a
-/// window, and each heartbeat costs a little of the tolerance as well.
+/// Fraction of the tolerance that a bucket holds at the start of a process. It is low because all hosts
+/// may be killed twice within a window, and requests admitted before a heartbeat arrives use up some of
+/// the tolerance as well.
 const START_SHARE: f64 = 0.3;
-/// A debt larger than this many seconds of the rate is forgotten, so that a count which was read
-/// wrongly can't stop a team for long.
-const MOST_DEBT_SECONDS: f64 = 5.0;
-/// How long a team's count is told after it changed last; later heartbeats leave it out.
-const TELL_FOR: Duration = Duration::from_secs(2);
-/// How long a host that begins takes over lower levels. Others answer its greeting within
-/// milliseconds; this leaves time for greetings that got lost.
-const LEARN_FOR: Duration = Duration::from_secs(2);
-/// Part of the burst by which requests that come back go below zero, and its largest. They were
-/// told when to come; to refuse them again would cost the caller the answer.
-const AGAIN_DEBT: (f64, f64) = (0.06, 4.0);
+/// Maximum debt of a bucket, in seconds of the team's rate. Without it, one wrong count could block a
+/// team for a long time.
+const MAX_DEBT_SECONDS: f64 = 5.0;
+/// Time after the last change of a team's count during which heartbeats include it. Later heartbeats
+/// leave it out, unless they are full.
+const USAGE_REPORT_WINDOW: Duration = Duration::from_secs(2);
+/// Time after a start or reset during which a host adopts lower levels from settled hosts. Other hosts
+/// answer its join request within milliseconds; the rest of the window covers lost join requests.
+const SETTLING_WINDOW: Duration = Duration::from_secs(2);
+/// Debt that retried requests may cause: a fraction of the burst, and the maximum number of tokens.
+/// These requests return at the time that they were given; if they were refused again, their callers
+/// would fail.
+const MAX_RETRY_DEBT: (f64, f64) = (0.06, 4.0);
 
 #[derive(Debug)]
 struct TeamAccount {
@@ -68,34 +73,34 @@
     at: Instant,
     admitted: u32,
     changed_at: Instant,
-    /// Requests that were refused and will come back, as many as the rate has not yet made room for.
+    /// Refused requests that will be retried and that the rate has not yet produced tokens for.
     expected: f64,
-    /// Tokens that were kept for each host that was not heard, since this host began.
-    kept: f64,
+    /// Tokens reserved for each silent host since this table was created. It only grows.
+    reserved: f64,
 }
 
 impl TeamAccount {
     fn advance(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
+        let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
         self.at = now;
-        self.level = (self.level + passed * self.rate).min(self.burst);
-        self.expected = (self.expected - passed * self.rate).max(0.0);
+        self.level = (self.level + elapsed * self.rate).min(self.burst);
+        self.expected = (self.expected - elapsed * self.rate).max(0.0);
     }
 
-    /// Takes out what was admitted, and what is kept beside it for hosts that are not heard.
-    fn charge(&mut self, requests: f64, parts: FleetParts) {
-        self.level = (self.level - requests * parts.cost()).max(self.floor());
-        self.kept += requests * parts.kept_for_each();
+    /// Deducts admitted requests, together with the tokens reserved for silent hosts.
+    fn charge(&mut self, requests: f64, alive_share: AliveShare) {
+        self.level = (self.level - requests * alive_share.cost()).max(self.floor());
+        self.reserved += requests * alive_share.reserved_per_silent_host();
     }
 
-    /// Puts back what was kept for a host that is heard again, and takes out what it spent.
-    fn settle(&mut self, kept_before: f64, spent: f64) {
-        let level = self.level + (self.kept - kept_before) - spent;
+    /// Releases the tokens reserved for a host during its silence and deducts those that it spent.
+    fn reconcile(&mut self, reserved_before: f64, spent: f64) {
+        let level = self.level + (self.reserved - reserved_before) - spent;
         self.level = level.min(self.burst).max(self.floor());
     }
 
     fn floor(&self) -> f64 {
-        -self.rate * MOST_DEBT_SECONDS
+        -self.rate * MAX_DEBT_SECONDS
     }
 
     fn start_level(&self, tolerance: &QuotaTolerance) -> f64 {
@@ -105,69 +110,69 @@
     }
 }
 
-/// How many of all hosts are heard, this one included.
+/// Number of alive hosts and of all hosts, this one included.
 #[derive(Clone, Copy, Debug)]
-struct FleetParts {
-    heard: f64,
+struct AliveShare {
+    alive: f64,
     all: f64,
 }
 
-impl FleetParts {
-    /// Tokens that an admission costs.
+impl AliveShare {
+    /// Returns the number of tokens that one admission costs.
     fn cost(&self) -> f64 {
-        self.all / self.heard
+        self.all / self.alive
     }
 
-    /// What of that is kept for each host that is not heard.
-    fn kept_for_each(&self) -> f64 {
-        if self.all > self.heard { 1.0 / self.heard } else { 0.0 }
+    /// Returns the part of that cost which is reserved for each silent host.
+    fn reserved_per_silent_host(&self) -> f64 {
+        if self.all > self.alive { 1.0 / self.alive } else { 0.0 }
     }
 }
 
-/// What the counts of another host can be compared with.
+/// Baseline that new counts of another host are compared with.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-enum CountBasis {
-    /// Nothing: no whole heartbeat of this run has come.
+enum CountBaseline {
+    /// None: no full heartbeat of this incarnation has arrived.
     #[default]
     Unknown,
-    /// The heartbeat before. A team that was never named had a count of 0.
+    /// The previous heartbeat. The count of a team that was never listed is 0.
     Current,
-    /// The last heartbeat before a silence.
+    /// The last heartbeat before the host fell silent.
     BeforeSilence,
 }
 
-/// What one run of another host has told of its counts.
+/// Admission counts received from one incarnation of another host.
 #[derive(Debug, Default)]
-struct HeardCounts {
+struct ReceivedCounts {
     teams: SortedMap<u32, u32>,
-    basis: CountBasis,
-    /// By team, what had been kept for each unheard host when this one fell silent.
-    kept_before: SortedMap<u32, f64>,
+    baseline: CountBaseline,
+    /// By team, the value of [`TeamAccount::reserved`] when the host fell silent.
+    reserved_before: SortedMap<u32, f64>,
 }
 
-/// All teams' buckets as this host sees them.
+/// Token buckets of all teams, as this host computes them.
 #[derive(Debug)]
 pub struct QuotaTable {
     tolerance: QuotaTolerance,
     teams: SortedMap<u32, TeamAccount>,
-    heard: SortedMap<HostId, HeardCounts>,
-    parts: FleetParts,
-    learns_until: Instant,
+    received: SortedMap<HostId, ReceivedCounts>,
+    alive_share: AliveShare,
+    settled_at: Instant,
 }
 
 impl QuotaTable {
-    /// Knows no team yet.
+    /// Creates a table without teams.
     pub fn new(tolerance: QuotaTolerance, now: Instant) -> Self {
         QuotaTable {
             tolerance,
             teams: SortedMap::new(),
-            heard: SortedMap::new(),
-            parts: FleetParts { heard: 1.0, all: 1.0 },
-            learns_until: now + LEARN_FOR,
+            received: SortedMap::new(),
+            alive_share: AliveShare { alive: 1.0, all: 1.0 },
+            settled_at: now + SETTLING_WINDOW,
         }
     }
 
-    /// Takes rates and bursts of new declarations.
+    /// Applies the rates and bursts of new declarations.
     pub fn set_limits(&mut self, declarations: &FleetDeclarations, now: Instant) {
         let tolerance = self.tolerance;
         for team in declarations.teams() {
@@ -180,7 +185,7 @@
                     admitted: 0,
                     changed_at: now,
                     expected: 0.0,
-                    kept: 0.0,
+                    reserved: 0.0,
                 };
                 account.level = account.start_level(&tolerance);
                 account
@@ -192,25 +197,27 @@
         }
     }
 
-    /// Says which part of all hosts is heard, this one included.
-    pub fn set_alive_share(&mut self, heard: usize, all: usize) {
-        let heard = heard.max(1);
-        self.parts = FleetParts { heard: heard as f64, all: all.max(heard) as f64 };
+    /// Sets the number of alive hosts and of all hosts, this one included.
+    pub fn set_alive_share(&mut self, alive: usize, all: usize) {
+        let alive = alive.max(1);
+        self.alive_share = AliveShare { alive: alive as f64, all: all.max(alive) as f64 };
     }
 
-    /// Takes note that a host is no longer heard: from now on a part is kept for it.
+    /// Records that a host fell silent: tokens are reserved for it from now on.
     pub fn mark_silent(&mut self, host: &HostId) {
-        let Some(counts) = self.heard.get_mut(host) else { return };
-        if counts.basis == CountBasis::Current {
-            counts.basis = CountBasis::BeforeSilence;
+        let Some(counts) = self.received.get_mut(host) else { return };
+        if counts.baseline == CountBaseline::Current {
+            counts.baseline = CountBaseline::BeforeSilence;
             let teams = self.teams.iter();
-            counts.kept_before = teams.map(|(team, account)| (*team, account.kept)).collect();
+            counts.reserved_before =
+                teams.map(|(team, account)| (*team, account.reserved)).collect();
         }
     }
 
-    /// Begins anew, as after a pause in which others spent unseen.
+    /// Lowers every bucket to its start level and adopts the levels of settled hosts again. Needed after a
+    /// pause of this process, in which other hosts spent tokens that it has not counted.
     pub fn reset(&mut self, now: Instant) {
-        self.learns_until = now + LEARN_FOR;
+        self.settled_at = now + SETTLING_WINDOW;
         let tolerance = self.tolerance;
         for (_, account) in self.teams.iter_mut() {
             account.advance(now);
@@ -218,11 +225,11 @@
         }
     }
 
-    /// Asks for one request of `team`. `is_retry` says that it was refused before and told when to
-    /// come back.
+    /// Decides on one request of `team`, and counts it if it is admitted. `is_retry` is set if the request
+    /// was refused before and returns at the time that it was given.
     pub fn admit(&mut self, team: &Name, is_retry: bool, now: Instant) -> QuotaDecision {
-        let parts = self.parts;
-        let cost = parts.cost();
+        let alive_share = self.alive_share;
+        let cost = alive_share.cost();
         let Some(account) = self.teams.get_mut(&name_hash(team)) else {
             return QuotaDecision::Admitted;
         };
@@ -230,9 +237,10 @@
             return QuotaDecision::Admitted;
         }
         account.advance(now);
-        let debt = if is_retry { (account.burst * AGAIN_DEBT.0).min(AGAIN_DEBT.1) } else { 0.0 };
+        let debt =
+            if is_retry { (account.burst * MAX_RETRY_DEBT.0).min(MAX_RETRY_DEBT.1) } else { 0.0 };
         if account.level + debt >= cost {
-            account.charge(1.0, parts);
+            account.charge(1.0, alive_share);
             account.admitted += 1;
             account.changed_at = now;
             return QuotaDecision::Admitted;
@@ -241,135 +249,143 @@
         QuotaDecision::Exceeded(Duration::from_secs_f64((missing / account.rate).min(60.0)))
     }
 
-    /// When a request that is refused now should come back: after those that were refused before
-    /// it, or they would all come at the same moment and be refused again.
+    /// Returns the delay after which a request that is refused now should be retried. Delays grow with the
+    /// number of requests refused before it; otherwise all would return at the same moment, and most would
+    /// be refused again.
     pub fn retry_after(&mut self, team: &Name, now: Instant) -> Duration {
-        let hosts = self.heard.len() as f64 + 1.0;
+        let hosts = self.received.len() as f64 + 1.0;
         let Some(account) = self.teams.get_mut(&name_hash(team)) else {
             return Duration::ZERO;
         };
         account.advance(now);
         let missing = (1.0 - account.level).max(0.0) + account.expected;
-        // The other hosts refuse about as many.
+        // Assumes that every other host refuses as many requests as this one.
         account.expected += hosts;
         Duration::from_secs_f64((missing / account.rate.max(f64::MIN_POSITIVE)).min(60.0))
     }
 
-    /// Whether this host has been up for long enough to know the levels.
+    /// Returns whether the window after the start or the last reset, in which this host adopts the levels
+    /// of others, is over.
     pub fn is_settled(&self, now: Instant) -> bool {
-        now >= self.learns_until
+        now >= self.settled_at
     }
 
-    /// Takes the counts of a heartbeat.
+    /// Applies the counts of a heartbeat.
     ///
-    /// The first whole heartbeat of a run is a starting point: what the run admitted before is in the
-    /// level that this host began with or took over. From then on a team that was not named had a
-    /// count of 0. A host that has just begun takes over lower levels of settled ones.
+    /// The first full heartbeat of an incarnation sets the baseline: the level that this host started with
+    /// or adopted already covers earlier admissions. From then on, the count of a team that was not listed
+    /// is 0. A host that isn't settled adopts lower levels from settled hosts.
     ///
-    /// After a silence the first whole heartbeat tells all that was spent in it. That is taken out, and
-    /// what was kept for the host is put back. Where only one of them is done, a host that falls
-    /// silent for a moment again and again spends without being counted, or the fuller part of a
-    /// divided fleet spends what the other has spent already; a team then gets twice its rate.
+    /// The first full heartbeat after a silence covers all admissions made during it. They are deducted,
+    /// and the tokens reserved for the host are released. Both are needed. Without the deduction, a host
+    /// that falls silent briefly again and again spends without being counted, or after a partition the
+    /// side with more tokens left spends again what the other side has spent; a team then gets twice its
+    /// rate. Without the release, callers within the rate are refused for seconds.
     pub fn receive_heartbeat(&mut self, heartbeat: &HostHeartbeat, was_silent: bool, now: Instant) {
         let host = HostId {
             address: heartbeat.host.address.clone(),
             incarnation: heartbeat.host.incarnation,
         };
-        if !self.heard.contains_key(&host) {
-            self.heard.retain(|held, _| held.address != host.address);
+        if !self.received.contains_key(&host) {
+            self.received.retain(|held, _| held.address != host.address);
         }
         if was_silent {
             self.mark_silent(&host);
         }
         let is_settled = self.is_settled(now);
-        let counts = self.heard.get_or_insert_with(host, HeardCounts::default);
-        match (counts.basis, heartbeat.is_usage_full) {
-            // Counts only grow, so what is told of a team is new whether or not the heartbeat is whole.
-            (CountBasis::Current, _) | (CountBasis::BeforeSilence, false) => {
-                take_counts(&mut self.teams, counts, heartbeat, self.parts, now);
+        let counts = self.received.get_or_insert_with(host, ReceivedCounts::default);
+        match (counts.baseline, heartbeat.is_usage_full) {
+            // Counts only grow, so a reported count is current in full and partial heartbeats alike.
+            (CountBaseline::Current, _) | (CountBaseline::BeforeSilence, false) => {
+                deduct_usage(&mut self.teams, counts, heartbeat, self.alive_share, now);
             }
-            (CountBasis::BeforeSilence, true) if is_settled => {
-                settle_counts(&mut self.teams, counts, heartbeat, now);
+            (CountBaseline::BeforeSilence, true) if is_settled => {
+                reconcile_usage(&mut self.teams, counts, heartbeat, now);
             }
-            // A host that is not settled itself takes over what settled ones know.
-            (_, true) => counts.begin(heartbeat),
-            (CountBasis::Unknown, false) => {}
+            // The first full heartbeat, or one after a silence while this host isn't settled: it adopts the
+            // levels of settled hosts instead of deducting.
+            (_, true) => counts.set_baseline(heartbeat),
+            (CountBaseline::Unknown, false) => {}
         }
         if heartbeat.is_settled && !is_settled {
-            self.take_levels(heartbeat, now);
+            self.adopt_lower_levels(heartbeat, now);
         }
     }
 
-    fn take_levels(&mut self, heartbeat: &HostHeartbeat, now: Instant) {
-        for told in &heartbeat.usage {
-            let Some(account) = self.teams.get_mut(&told.team) else { continue };
+    fn adopt_lower_levels(&mut self, heartbeat: &HostHeartbeat, now: Instant) {
+        for reported in &heartbeat.usage {
+            let Some(account) = self.teams.get_mut(&reported.team) else { continue };
             account.advance(now);
-            account.level = account.level.min(f64::from(told.level));
+            account.level = account.level.min(f64::from(reported.level));
         }
     }
 
-    /// What this host tells others: counts that changed lately, or all of them.
-    pub fn usage(&self, is_whole: bool, now: Instant) -> Vec<TeamUsage> {
-        let told = self.teams.iter().filter(|(_, account)| {
-            account.admitted > 0 && (is_whole || now.duration_since(account.changed_at) < TELL_FOR)
+    /// Returns the usage for a heartbeat: all nonzero counts if `is_full`, else only those that changed
+    /// recently.
+    pub fn usage(&self, is_full: bool, now: Instant) -> Vec<TeamUsage> {
+        let reported = self.teams.iter().filter(|(_, account)| {
+            account.admitted > 0
+                && (is_full || now.duration_since(account.changed_at) < USAGE_REPORT_WINDOW)
         });
-        told.map(|(team, account)| TeamUsage {
-            team: *team,
-            admitted: account.admitted,
-            level: account.level.floor() as i32,
-        })
-        .collect()
+        reported
+            .map(|(team, account)| TeamUsage {
+                team: *team,
+                admitted: account.admitted,
+                level: account.level.floor() as i32,
+            })
+            .collect()
     }
 }
 
-impl HeardCounts {
-    /// Takes a whole heartbeat as what later ones are compared with.
-    fn begin(&mut self, heartbeat: &HostHeartbeat) {
-        self.teams = heartbeat.usage.iter().map(|told| (told.team, told.admitted)).collect();
-        self.basis = CountBasis::Current;
-        self.kept_before = SortedMap::new();
+impl ReceivedCounts {
+    /// Makes a full heartbeat the baseline for later ones.
+    fn set_baseline(&mut self, heartbeat: &HostHeartbeat) {
+        self.teams =
+            heartbeat.usage.iter().map(|reported| (reported.team, reported.admitted)).collect();
+        self.baseline = CountBaseline::Current;
+        self.reserved_before = SortedMap::new();
     }
 
-    /// How much of a team's count is new.
-    fn spent(&self, told: &TeamUsage) -> f64 {
-        let before = self.teams.get(&told.team).copied().unwrap_or(0);
-        f64::from(told.admitted.saturating_sub(before))
+    /// Returns the number of admissions since the baseline.
+    fn spent(&self, reported: &TeamUsage) -> f64 {
+        let before = self.teams.get(&reported.team).copied().unwrap_or(0);
+        f64::from(reported.admitted.saturating_sub(before))
     }
 }
 
-/// Takes out what a host admitted since its last heartbeat.
-fn take_counts(
+/// Deducts the requests that a host admitted since its last heartbeat.
+fn deduct_usage(
     teams: &mut SortedMap<u32, TeamAccount>,
-    counts: &mut HeardCounts,
+    counts: &mut ReceivedCounts,
     heartbeat: &HostHeartbeat,
-    parts: FleetParts,
+    alive_share: AliveShare,
     now: Instant,
 ) {
-    for told in &heartbeat.usage {
-        let spent = counts.spent(told);
-        counts.teams.insert(told.team, told.admitted);
-        let Some(account) = teams.get_mut(&told.team) else { continue };
+    for reported in &heartbeat.usage {
+        let spent = counts.spent(reported);
+        counts.teams.insert(reported.team, reported.admitted);
+        let Some(account) = teams.get_mut(&reported.team) else { continue };
         account.advance(now);
         if spent > 0.0 {
-            account.charge(spent, parts);
+            account.charge(spent, alive_share);
         }
     }
 }
 
-/// Settles every team's account with a host that is heard again.
-fn settle_counts(
+/// Reconciles every team's bucket with the full heartbeat of a host that was silent.
+fn reconcile_usage(
     teams: &mut SortedMap<u32, TeamAccount>,
-    counts: &mut HeardCounts,
+    counts: &mut ReceivedCounts,
     heartbeat: &HostHeartbeat,
     now: Instant,
 ) {
     for (team, account) in teams.iter_mut() {
-        let told = heartbeat.usage.iter().find(|told| told.team == *team);
-        let kept_before = counts.kept_before.get(team).copied().unwrap_or(account.kept);
+        let reported = heartbeat.usage.iter().find(|reported| reported.team == *team);
+        let reserved_before = counts.reserved_before.get(team).copied().unwrap_or(account.reserved);
         account.advance(now);
-        account.settle(kept_before, told.map_or(0.0, |told| counts.spent(told)));
+        account.reconcile(reserved_before, reported.map_or(0.0, |reported| counts.spent(reported)));
     }
-    counts.begin(heartbeat);
+    counts.set_baseline(heartbeat);
 }
 
 #[cfg(test)]
--- a/crates/cuminramp-fleet/src/quota/tests.rs
+++ b/crates/cuminramp-fleet/src/quota/tests.rs
@@ -1,6 +1,7 @@
-//! Books alone; `division` has whole fleets.
+//! Tests of quota tables whose hosts are all alive or set apart by hand; `partition` simulates fleets with
+//! failing links.
 
-mod division;
+mod partition;
 
 use std::time::Duration;
 
@@ -18,15 +19,15 @@
 
 fn declarations() -> FleetDeclarations {
     let team =
-        TeamRule { name: "parish".into(), keys: vec![], rate: RATE, burst: BURST, homes: vec![] };
+        TeamRule { name: "team-a".into(), keys: vec![], rate: RATE, burst: BURST, homes: vec![] };
     FleetDeclarations::new(1, CallerLimits::default(), vec![], vec![], vec![team])
 }
 
 fn team() -> Name {
-    "parish".into()
+    "team-a".into()
 }
 
-fn tolerant() -> QuotaTolerance {
+fn example_tolerance() -> QuotaTolerance {
     QuotaTolerance { share: 0.1, requests: 20.0, window: Duration::from_secs(WINDOW) }
 }
 
@@ -40,12 +41,12 @@
     table_with(QuotaTolerance::default())
 }
 
-/// What the host called `address` tells of a book.
-fn heartbeat(address: &str, table: &QuotaTable, is_whole: bool) -> HostHeartbeat {
+/// Returns the heartbeat of the host at `address` with the usage of its table.
+fn heartbeat_of(address: &str, table: &QuotaTable, is_full: bool) -> HostHeartbeat {
     let now = Instant::now();
     HostHeartbeat {
-        usage: table.usage(is_whole, now),
-        is_usage_full: is_whole,
+        usage: table.usage(is_full, now),
+        is_usage_full: is_full,
         is_settled: table.is_settled(now),
         ..host_heartbeat(known_host(address, 1, "z"), 1)
     }
@@ -59,7 +60,7 @@
     count
 }
 
-/// A fleet whose hosts hear each other's heartbeats at once.
+/// Fleet whose hosts receive each other's heartbeats without delay.
 struct Fleet {
     tables: Vec<QuotaTable>,
 }
@@ -69,13 +70,13 @@
         let tables = (0..hosts).map(|_| table_with(tolerance)).collect();
         let mut fleet = Fleet { tables };
         for host in 0..hosts {
-            fleet.tell(host, true);
+            fleet.send_heartbeat(host, true);
         }
         fleet
     }
 
-    fn tell(&mut self, host: usize, is_whole: bool) {
-        let heartbeat = heartbeat(&host.to_string(), &self.tables[host], is_whole);
+    fn send_heartbeat(&mut self, host: usize, is_full: bool) {
+        let heartbeat = heartbeat_of(&host.to_string(), &self.tables[host], is_full);
         for (index, other) in self.tables.iter_mut().enumerate() {
             if index != host {
                 other.receive_heartbeat(&heartbeat, false, Instant::now());
@@ -87,26 +88,26 @@
         self.tables[host] = table_with(tolerance);
         for other in 0..self.tables.len() {
             if other != host {
-                let heartbeat = heartbeat(&other.to_string(), &self.tables[other], true);
+                let heartbeat = heartbeat_of(&other.to_string(), &self.tables[other], true);
                 self.tables[host].receive_heartbeat(&heartbeat, false, Instant::now());
             }
         }
     }
 
-    /// A request every 10 ms through one host after another.
-    async fn flood(&mut self, step: usize) -> u32 {
+    /// Sends one request every 10 ms, to each host in turn. Returns 1 if it was admitted, else 0.
+    async fn send_request(&mut self, step: usize) -> u32 {
         let host = step % self.tables.len();
         let decision = self.tables[host].admit(&team(), false, Instant::now());
-        self.tell(host, false);
+        self.send_heartbeat(host, false);
         advance(Duration::from_millis(10)).await;
         u32::from(decision == QuotaDecision::Admitted)
     }
 }
 
-/// A process is killed and starts again. With a full bucket the team could spend its burst once
-/// more with each restart.
+/// A process is killed and restarted. If it started with a full bucket, the team could spend its burst
+/// once more after each restart.
 #[tokio::test(start_paused = true)]
-async fn a_new_process_starts_with_an_empty_bucket_where_nothing_is_tolerated() {
+async fn a_new_process_starts_with_an_empty_bucket_without_tolerance() {
     let mut table = table();
 
     assert_eq!(admitted_at_once(&mut table), 0);
@@ -115,32 +116,32 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_others_admit_is_taken_out_here() {
+async fn admissions_of_other_hosts_are_deducted() {
     let mut first = table();
     let mut second = table();
     advance(Duration::from_secs(10)).await;
-    second.receive_heartbeat(&heartbeat("first", &first, true), false, Instant::now());
+    second.receive_heartbeat(&heartbeat_of("first", &first, true), false, Instant::now());
 
     let spent = admitted_at_once(&mut first);
-    second.receive_heartbeat(&heartbeat("first", &first, false), false, Instant::now());
+    second.receive_heartbeat(&heartbeat_of("first", &first, false), false, Instant::now());
 
     assert_eq!(spent, 20);
     assert_eq!(admitted_at_once(&mut second), 0);
 }
 
-/// Two of four hosts lose sight of the other two, and the team's callers reach both parts. If both
-/// went on with the whole rate, the team would get twice what it pays for.
+/// A partition separates four hosts two and two, and the team's callers reach both sides. If each side
+/// admitted the full rate, the team would get twice its rate.
 #[tokio::test(start_paused = true)]
-async fn the_parts_of_a_divided_fleet_stay_within_the_rate_together() {
-    let mut parts = [table(), table()];
+async fn partitions_of_a_fleet_stay_within_the_rate_together() {
+    let mut sides = [table(), table()];
     advance(Duration::from_secs(10)).await;
-    for part in &mut parts {
-        part.set_alive_share(2, 4);
+    for side in &mut sides {
+        side.set_alive_share(2, 4);
     }
 
     let mut total = 0;
     for _ in 0..50 {
-        total += parts.iter_mut().map(admitted_at_once).sum::<u32>();
+        total += sides.iter_mut().map(admitted_at_once).sum::<u32>();
         advance(Duration::from_millis(100)).await;
     }
 
@@ -148,105 +149,106 @@
     assert!(f64::from(total) >= RATE * 4.0, "{total}");
 }
 
-/// After a division each part hears what the other spent. It came out of the other's part; owed here
-/// in full as well, callers within the rate would be refused for seconds. Not owed at all, the team
-/// would get what it spent there a second time. What is left is what was left to this part.
+/// After a partition, each side receives the counts of the other, which spent tokens reserved for it. If
+/// these were charged in full on top of the reservation, callers within the rate would be refused for
+/// seconds; if they weren't charged, the team could spend them a second time. Exactly the tokens that
+/// this side had left must remain.
 #[tokio::test(start_paused = true)]
-async fn what_was_spent_in_a_division_is_owed_once_after_it() {
+async fn tokens_spent_during_a_partition_are_charged_once_after_it() {
     let (mut here, mut there) = (table(), table());
-    here.receive_heartbeat(&heartbeat("there", &there, true), false, Instant::now());
+    here.receive_heartbeat(&heartbeat_of("there", &there, true), false, Instant::now());
     advance(Duration::from_secs(10)).await;
     here.set_alive_share(1, 2);
     there.set_alive_share(1, 2);
     let spent_there = admitted_at_once(&mut there);
 
     here.set_alive_share(2, 2);
-    here.receive_heartbeat(&heartbeat("there", &there, true), true, Instant::now());
+    here.receive_heartbeat(&heartbeat_of("there", &there, true), true, Instant::now());
     let left_here = admitted_at_once(&mut here);
 
     assert_eq!((spent_there, left_here), (10, 10));
 }
 
-/// Hosts on a busy machine fall silent for a moment, and the whole heartbeat that one asks the other for
-/// afterwards comes late. Admissions told meanwhile would not be counted, and each host would spend
-/// the whole rate until it comes.
+/// A host on a busy machine falls silent briefly, and the full heartbeat that is then requested from it
+/// arrives late. If admissions in partial heartbeats weren't counted in the meantime, each host would
+/// spend the full rate until the full heartbeat arrives.
 #[tokio::test(start_paused = true)]
 async fn admissions_told_after_a_silence_count_before_a_whole_heartbeat_comes() {
     let (mut here, mut there) = (table(), table());
-    here.receive_heartbeat(&heartbeat("there", &there, true), false, Instant::now());
+    here.receive_heartbeat(&heartbeat_of("there", &there, true), false, Instant::now());
     advance(Duration::from_secs(10)).await;
     let spent_there = admitted_at_once(&mut there);
 
-    here.receive_heartbeat(&heartbeat("there", &there, false), true, Instant::now());
+    here.receive_heartbeat(&heartbeat_of("there", &there, false), true, Instant::now());
     let left_here = admitted_at_once(&mut here);
-    here.receive_heartbeat(&heartbeat("there", &there, true), false, Instant::now());
+    here.receive_heartbeat(&heartbeat_of("there", &there, true), false, Instant::now());
     advance(Duration::from_secs(1)).await;
     let next_second = admitted_at_once(&mut here);
 
     assert_eq!((spent_there, left_here, next_second), (20, 0, 10));
 }
 
-/// A team sends many times its rate through all hosts at once, and each learns of the others'
-/// admissions only with the next heartbeat. The callers of other teams would feel the excess.
+/// A team sends many times its rate through all hosts at once, and each host receives the others'
+/// admissions only with their next heartbeats. Excess admissions would slow down other teams' requests.
 #[tokio::test(start_paused = true)]
-async fn a_flood_through_all_hosts_exceeds_the_rate_by_less_than_a_heartbeat_brings() {
+async fn overload_through_all_hosts_stays_within_one_request_of_the_limits() {
     let mut fleet = Fleet::new(11, QuotaTolerance::default());
     advance(Duration::from_secs(10)).await;
 
     let mut total = 0;
     for step in 0..500 {
-        total += fleet.flood(step).await;
+        total += fleet.send_request(step).await;
     }
 
     assert!(f64::from(total) <= BURST + RATE * WINDOW as f64 + 1.0, "{total}");
 }
 
-/// All hosts are killed at once and start again while a team's callers press. Beginning with
-/// nothing, they would refuse callers who are within the rate; beginning with too much, twice in a
-/// row, they would let a team have more than is tolerated.
+/// All hosts are killed and restarted at once, twice in a row, while a team exceeds its rate. If buckets
+/// started empty, callers within the rate would be refused; if they started too full, the team would
+/// exceed the tolerance.
 #[tokio::test(start_paused = true)]
-async fn a_fleet_that_was_killed_twice_stays_within_what_is_tolerated() {
-    let mut fleet = Fleet::new(11, tolerant());
+async fn a_fleet_that_is_killed_twice_stays_within_the_tolerance() {
+    let mut fleet = Fleet::new(11, example_tolerance());
     advance(Duration::from_secs(10)).await;
 
     let mut total = 0;
     let mut after_restart = 0;
     for step in 0..500 {
         if step == 100 || step == 250 {
-            fleet = Fleet::new(11, tolerant());
+            fleet = Fleet::new(11, example_tolerance());
         }
-        let admitted = fleet.flood(step).await;
+        let admitted = fleet.send_request(step).await;
         total += admitted;
         after_restart += if (100..110).contains(&step) { admitted } else { 0 };
     }
 
-    let most = (BURST + RATE * WINDOW as f64) * 1.1 + 20.0;
-    assert!(f64::from(total) <= most, "{total}");
+    let limit = (BURST + RATE * WINDOW as f64) * 1.1 + 20.0;
+    assert!(f64::from(total) <= limit, "{total}");
     assert!(after_restart >= 5, "{after_restart}");
 }
 
-/// Hosts are restarted one after another while a team sends many times its rate. What each begins
-/// with must not add up.
+/// Hosts are restarted one after another while a team sends many times its rate. The start levels of
+/// their buckets must not add up.
 #[tokio::test(start_paused = true)]
-async fn restarts_one_after_another_add_nothing_that_is_not_tolerated() {
-    let mut fleet = Fleet::new(11, tolerant());
+async fn consecutive_restarts_stay_near_the_limits() {
+    let mut fleet = Fleet::new(11, example_tolerance());
     advance(Duration::from_secs(10)).await;
 
     let mut total = 0;
     for step in 0..500 {
         if step % 60 == 30 {
-            fleet.restart(step / 60, tolerant());
+            fleet.restart(step / 60, example_tolerance());
         }
-        total += fleet.flood(step).await;
+        total += fleet.send_request(step).await;
     }
 
     assert!(f64::from(total) <= BURST + RATE * WINDOW as f64 + 5.0, "{total}");
 }
 
-/// Many callers are refused in one moment. Told the same time to come back, they would meet again,
-/// and most would be refused a second time.
+/// Many callers are refused at the same moment. If all were given the same delay, they would retry
+/// together, and most would be refused a second time.
 #[tokio::test(start_paused = true)]
-async fn refused_requests_are_spread_over_the_time_that_the_rate_needs() {
+async fn retries_of_refused_requests_are_spread_according_to_the_rate() {
     let mut table = table();
 
     let waits: Vec<Duration> = (0..3).map(|_| table.retry_after(&team(), Instant::now())).collect();
@@ -255,13 +257,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_comes_back_goes_before_newcomers() {
+async fn a_retried_request_is_admitted_before_a_new_one() {
     let mut table = table();
     advance(Duration::from_millis(95)).await;
 
-    let newcomer = table.admit(&team(), false, Instant::now());
-    let again = table.admit(&team(), true, Instant::now());
+    let first_try = table.admit(&team(), false, Instant::now());
+    let retry = table.admit(&team(), true, Instant::now());
 
-    assert_eq!(newcomer, QuotaDecision::Exceeded(Duration::from_millis(5)));
-    assert_eq!(again, QuotaDecision::Admitted);
+    assert_eq!(first_try, QuotaDecision::Exceeded(Duration::from_millis(5)));
+    assert_eq!(retry, QuotaDecision::Admitted);
 }
