--- a/crates/cuminramp-fleet/src/schedule.rs
+++ b/crates/cuminramp-fleet/src/schedule.rs
@@ -1,35 +1,42 @@
-//! How often hosts send heartbeats, by their number.
+//! Heartbeat intervals and timeouts, derived from the number of hosts.
 //!
-//! Each host sends heartbeats to each other one: that it lives, and what its teams spent. To hosts of its zone
-//! they go within milliseconds of a change, and less often the more of them there are; to the other zones they
-//! go less often the more hosts there are in all. So the cost for a host stays bounded.
+//! Every host sends heartbeats to every other host; they show that it is alive and report its teams'
+//! usage. Hosts of the same zone ("near") receive a heartbeat within milliseconds of a change, less often
+//! the more hosts the zone has. Hosts of other zones ("far") receive them less often the more hosts the
+//! whole fleet has. This bounds the cost of heartbeats for each host.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Hosts of the zone learn of a change after so long, with what else changes meanwhile.
-const NEAR_DELAY: Duration = Duration::from_millis(3);
-/// The least time between two heartbeats to hosts of the zone for each of them: with 29 in a zone a
-/// host sends them some 250 heartbeats a second under full load.
+/// Minimum delay between a change and the heartbeat that reports it. Further changes in the meantime go
+/// out with the same heartbeat.
+const MIN_NEAR_DELAY: Duration = Duration::from_millis(3);
+/// Minimum interval between two heartbeats to near hosts, per host of the zone. With 29 hosts in a zone,
+/// a host sends some 250 near heartbeats a second under full load.
 const NEAR_DELAY_PER_HOST: Duration = Duration::from_micros(1_000);
-/// Time between two heartbeats when nothing changes, at the least.
-const INTERVAL: Duration = Duration::from_millis(100);
-/// The same for each host of the zone: a host sends and takes at most 200 such heartbeats a second.
-const INTERVAL_PER_HOST: Duration = Duration::from_millis(5);
-/// The least time between two heartbeats to other zones is this, times the square of the number of
-/// hosts: 5 ms for 11 hosts, 290 ms for 85, at which a host sends them some 200 a second.
+/// Minimum interval between two heartbeats when nothing changes.
+const MIN_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two near heartbeats when nothing changes, per host of the zone. It limits a host to
+/// sending and receiving 200 of these heartbeats a second.
+const NEAR_INTERVAL_PER_HOST: Duration = Duration::from_millis(5);
+/// Minimum interval between two far heartbeats, in microseconds, to be multiplied by the square of the
+/// number of hosts. This gives 5 ms for 11 hosts, and 290 ms for 85, of which each sends some 200 far
+/// heartbeats a second.
 const FAR_DELAY_MICROS: u64 = 40;
-/// The longest such time, so that what a team spent elsewhere is known within a window of its rate.
-const LONGEST_FAR_DELAY: Duration = Duration::from_millis(1_500);
-/// The longest time between two heartbeats in a zone: a host that is gone is missed within a second or so.
-const LONGEST_NEAR_INTERVAL: Duration = Duration::from_millis(350);
-/// Hosts up to which tables are looked at as often as in the smallest fleet.
-const SMALL_FLEET: u32 = 40;
-/// Heartbeats that may be missed before a host counts as silent: a datagram may get lost, and the next.
-const MISSED_HEARTBEATS: f64 = 3.5;
+/// Maximum of the minimum interval between two far heartbeats. It ensures that a team's usage in other
+/// zones arrives within the window of its rate limit.
+const MAX_FAR_DELAY: Duration = Duration::from_millis(1_500);
+/// Maximum interval between two near heartbeats. It ensures that a failed host is detected within about a
+/// second.
+const MAX_NEAR_INTERVAL: Duration = Duration::from_millis(350);
+/// Maximum number of hosts for which [`HeartbeatSchedule::scale`] returns the base interval.
+const MAX_UNSCALED_HOSTS: u32 = 40;
+/// Heartbeat intervals without a heartbeat after which a host is silent. It tolerates the loss of two
+/// consecutive datagrams.
+const TIMEOUT_INTERVALS: f64 = 3.5;
 
-/// How often hosts send heartbeats to each other.
+/// Intervals and timeouts of heartbeats between hosts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeartbeatSchedule {
     hosts: u32,
@@ -39,7 +46,8 @@
 }
 
 impl HeartbeatSchedule {
-    /// The rhythm for so many hosts in all, and in this host's zone, itself included.
+    /// Returns the schedule for `hosts` hosts in the fleet, of which `near_hosts` are in this host's zone.
+    /// Both numbers include this host.
     ///
     /// ```
     /// use cuminramp_fleet::HeartbeatSchedule;
@@ -51,44 +59,45 @@
         let hosts = hosts as u64;
         let far_delay = Duration::from_micros(FAR_DELAY_MICROS * hosts * hosts);
         let near_delay = NEAR_DELAY_PER_HOST * near_hosts as u32;
-        let near_interval = INTERVAL_PER_HOST * near_hosts as u32;
+        let near_interval = NEAR_INTERVAL_PER_HOST * near_hosts as u32;
         HeartbeatSchedule {
             hosts: hosts as u32,
-            near_delay: near_delay.max(NEAR_DELAY).min(INTERVAL),
-            near_interval: near_interval.clamp(INTERVAL, LONGEST_NEAR_INTERVAL),
-            far_delay: far_delay.min(LONGEST_FAR_DELAY),
+            near_delay: near_delay.max(MIN_NEAR_DELAY).min(MIN_INTERVAL),
+            near_interval: near_interval.clamp(MIN_INTERVAL, MAX_NEAR_INTERVAL),
+            far_delay: far_delay.min(MAX_FAR_DELAY),
         }
     }
 
-    /// The time between two looks at something that grows with the fleet, such as a table with a row of
-    /// every host: `base` up to forty hosts and in proportion beyond, at most `longest`.
+    /// Returns the interval for polling data that grows with the fleet, such as a table with one row per
+    /// host: `base` for up to 40 hosts, in proportion to their number beyond, and at most `max`.
     ///
     /// ```
     /// use std::time::Duration;
     /// use cuminramp_fleet::HeartbeatSchedule;
-    /// let (base, longest) = (Duration::from_secs(5), Duration::from_secs(30));
-    /// assert_eq!(HeartbeatSchedule::new(11, 4).scale(base, longest), base);
-    /// assert_eq!(HeartbeatSchedule::new(80, 20).scale(base, longest), base * 2);
+    /// let (base, max) = (Duration::from_secs(5), Duration::from_secs(30));
+    /// assert_eq!(HeartbeatSchedule::new(11, 4).scale(base, max), base);
+    /// assert_eq!(HeartbeatSchedule::new(80, 20).scale(base, max), base * 2);
     /// ```
-    pub fn scale(&self, base: Duration, longest: Duration) -> Duration {
-        (base * self.hosts.max(SMALL_FLEET) / SMALL_FLEET).min(longest.max(base))
+    pub fn scale(&self, base: Duration, max: Duration) -> Duration {
+        (base * self.hosts.max(MAX_UNSCALED_HOSTS) / MAX_UNSCALED_HOSTS).min(max.max(base))
     }
 
-    /// Silence after which a host of this zone, or of another, counts as silent.
+    /// Returns the time without a heartbeat after which a host is silent; `is_near` is set for hosts of this
+    /// host's zone.
     pub fn timeout(&self, is_near: bool) -> Duration {
         if is_near {
-            self.near_interval.mul_f64(MISSED_HEARTBEATS)
+            self.near_interval.mul_f64(TIMEOUT_INTERVALS)
         } else {
-            self.far_interval().mul_f64(MISSED_HEARTBEATS)
+            self.far_interval().mul_f64(TIMEOUT_INTERVALS)
         }
     }
 
     fn far_interval(&self) -> Duration {
-        INTERVAL.max(self.far_delay)
+        MIN_INTERVAL.max(self.far_delay)
     }
 }
 
-/// When the next heartbeats are due.
+/// Due times of the next near and far heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatTimer {
     near_due: Instant,
@@ -98,25 +107,25 @@
 }
 
 impl HeartbeatTimer {
-    /// All are due now.
+    /// Creates a timer whose heartbeats are due at `now`.
     pub fn new(now: Instant) -> Self {
         HeartbeatTimer { near_due: now, near_last: now, far_due: now, far_last: now }
     }
 
-    /// Something changed: brings the next heartbeats forward.
+    /// Brings the next heartbeats forward because something changed that they report.
     pub fn bring_forward(&mut self, schedule: &HeartbeatSchedule, now: Instant) {
-        let soon = now + NEAR_DELAY;
-        self.near_due = self.near_due.min(soon.max(self.near_last + schedule.near_delay));
-        self.far_due = self.far_due.min(soon.max(self.far_last + schedule.far_delay));
+        let earliest = now + MIN_NEAR_DELAY;
+        self.near_due = self.near_due.min(earliest.max(self.near_last + schedule.near_delay));
+        self.far_due = self.far_due.min(earliest.max(self.far_last + schedule.far_delay));
     }
 
-    /// When the next heartbeats go out.
+    /// Returns the earlier of the two due times.
     pub fn next(&self) -> Instant {
         self.near_due.min(self.far_due)
     }
 
-    /// Which heartbeats go out now: to hosts of the zone, and of others. Those are then due again after
-    /// the usual interval.
+    /// Returns whether near and far heartbeats are due, in this order. Those that are due are scheduled
+    /// again after their usual interval.
     pub fn take_due(&mut self, schedule: &HeartbeatSchedule, now: Instant) -> (bool, bool) {
         let due = (self.near_due <= now, self.far_due <= now);
         if due.0 {
