--- a/crates/cuminramp-fleet/src/steering.rs
+++ b/crates/cuminramp-fleet/src/steering.rs
@@ -1,80 +1,88 @@
-//! Which hosts callers are sent to.
+//! Selection of the hosts that callers are steered to.
 
 use cuminramp_core::{AvailabilityZone, Name, RandomSource};
 
 use crate::heartbeat::KnownHost;
 
-/// Hosts of other zones for each one of the caller's own: where a zone is lost, callers who know no host
-/// of another one are shut out for as long as they keep the answer.
-const OTHERS_FOR_EACH_NEAR: usize = 1;
+/// Number of hosts of other zones per host of the caller's zone. If a zone fails, callers that know only
+/// hosts of that zone can't reach the fleet until they refresh their list of hosts.
+const OTHER_ZONE_HOSTS_PER_NEAR_HOST: usize = 1;
 
-/// How many hosts callers are told.
+/// Bounds on the number of hosts that a caller receives.
 #[derive(Clone, Copy, Debug)]
 pub struct SteeringBounds {
-    /// Hosts of the caller's zone under which it is told others in place of them: with one alone, its loss
-    /// would leave the caller with nowhere to go until it asks again.
+    /// Minimum number of live hosts in the caller's zone. With fewer, the caller receives the hosts of a
+    /// wider area instead; if it received a single host and that host failed, it couldn't send requests
+    /// until it refreshes its list.
     pub min_near: usize,
-    /// Hosts in one answer.
+    /// Maximum number of hosts in one response.
     pub max_hosts: usize,
 }
 
-/// Where a caller stands, and where its work may run.
+/// Zone and region of a caller, and the zones in which its work may run.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SteeringArea {
     /// The caller's zone.
     pub zone: AvailabilityZone,
     /// All zones of its region.
     pub region_zones: Vec<AvailabilityZone>,
-    /// Zones of the regions in which its work may run; none where all regions will do.
+    /// Zones of its home regions, in which its work may run; empty if it may run in all regions.
     pub home_zones: Vec<AvailabilityZone>,
 }
 
 impl SteeringArea {
-    /// Hosts of the nearest part of the area. Where the caller's zone has enough,
-    /// its hosts and as many of the region's other zones, drawn by chance; else those of the region, those
-    /// of the homes, or all.
+    /// Returns the caller addresses of the nearest live hosts. If the caller's zone has enough of them,
+    /// these are its hosts and as many random hosts of the region's other zones. Otherwise they are the
+    /// hosts of the region, else those of the home regions, else all.
     ///
-    /// A body that is sent to a host in a third region leaves the regions that a team chose, so such a
-    /// host is named only where nothing else is left.
+    /// A request body that is sent to a host in a third region leaves the regions that the team chose, so
+    /// hosts of third regions are returned only if there are no others.
     pub(crate) fn choose(
         &self,
         live: &[&KnownHost],
         bounds: SteeringBounds,
         random: &mut dyn RandomSource,
     ) -> Vec<Name> {
-        let near = named(live, |zone| *zone == self.zone);
+        let near = caller_addresses(live, |zone| *zone == self.zone);
         if near.len() >= bounds.min_near {
             let is_other =
                 |zone: &AvailabilityZone| *zone != self.zone && self.region_zones.contains(zone);
-            let others = draw(named(live, is_other), near.len() * OTHERS_FOR_EACH_NEAR, random);
+            let others = sample(
+                caller_addresses(live, is_other),
+                near.len() * OTHER_ZONE_HOSTS_PER_NEAR_HOST,
+                random,
+            );
             let all = near.into_iter().chain(others).collect();
-            return draw(all, bounds.max_hosts, random);
+            return sample(all, bounds.max_hosts, random);
         }
         for zones in [&self.region_zones, &self.home_zones] {
-            let found = named(live, |zone| zones.contains(zone));
+            let found = caller_addresses(live, |zone| zones.contains(zone));
             if !found.is_empty() {
-                return draw(found, bounds.max_hosts, random);
+                return sample(found, bounds.max_hosts, random);
             }
         }
-        draw(named(live, |_| true), bounds.max_hosts, random)
+        sample(caller_addresses(live, |_| true), bounds.max_hosts, random)
     }
 }
 
-/// At most `most` of some hosts, each as likely as any other.
-fn draw(hosts: Vec<Name>, most: usize, random: &mut dyn RandomSource) -> Vec<Name> {
-    if hosts.len() <= most {
+/// Returns at most `max` of the hosts, sampled uniformly at random.
+fn sample(hosts: Vec<Name>, max: usize, random: &mut dyn RandomSource) -> Vec<Name> {
+    if hosts.len() <= max {
         return hosts;
     }
-    let mut drawn: Vec<(usize, Name)> =
+    let mut sampled: Vec<(usize, Name)> =
         hosts.into_iter().map(|host| (random.below(1 << 16), host)).collect();
-    drawn.sort();
-    drawn.truncate(most);
-    drawn.into_iter().map(|(_, host)| host).collect()
+    sampled.sort();
+    sampled.truncate(max);
+    sampled.into_iter().map(|(_, host)| host).collect()
 }
 
-fn named(live: &[&KnownHost], is_chosen: impl Fn(&AvailabilityZone) -> bool) -> Vec<Name> {
-    let chosen = live.iter().filter(|host| is_chosen(&host.zone));
-    chosen.map(|host| host.caller_address.clone()).collect()
+fn caller_addresses(
+    live: &[&KnownHost],
+    is_included: impl Fn(&AvailabilityZone) -> bool,
+) -> Vec<Name> {
+    let included = live.iter().filter(|host| is_included(&host.zone));
+    included.map(|host| host.caller_address.clone()).collect()
 }
 
 #[cfg(test)]
--- a/crates/cuminramp-fleet/src/steering/tests.rs
+++ b/crates/cuminramp-fleet/src/steering/tests.rs
@@ -5,11 +5,11 @@
 use crate::heartbeat::KnownHost;
 
 const BOUNDS: SteeringBounds = SteeringBounds { min_near: 2, max_hosts: 64 };
-/// Callers try a second host where the first does not answer.
+/// Hosts that a caller tries before it gives up.
 const TRIES: usize = 2;
 const CALLERS: usize = 2_000;
 
-/// Hosts by zone, the zone's name before the dash.
+/// Returns the given number of hosts for each zone, with addresses of the form `zone-index`.
 fn hosts(zones: &[(&str, usize)]) -> Vec<KnownHost> {
     let of_zone = |(zone, count): &(&str, usize)| {
         let zone = (*zone).to_owned();
@@ -31,48 +31,50 @@
     area.choose(&live, BOUNDS, random)
 }
 
-/// Guards against callers who are shut out of a lost zone, since they know no host of another one.
+/// Guards against callers that can't reach any host when a zone fails, because they know only hosts of
+/// that zone.
 #[test]
-fn most_callers_reach_a_host_when_their_zone_is_lost() {
+fn most_callers_reach_a_host_when_their_zone_fails() {
     let hosts = hosts(&[("a1", 27), ("a2", 27), ("a3", 27)]);
     let mut random = SeededRandom::new(1);
 
-    let mut shut_out = 0;
+    let mut failed = 0;
     for _ in 0..CALLERS {
         let mut known = choose(&area(&[]), &hosts, &mut random);
-        let is_lost = (0..TRIES).all(|_| {
+        let has_failed = (0..TRIES).all(|_| {
             let host = known.swap_remove(random.below(known.len()));
             host.starts_with("a1-")
         });
-        shut_out += usize::from(is_lost);
+        failed += usize::from(has_failed);
     }
 
-    assert!(shut_out * 3 < CALLERS, "{shut_out} of {CALLERS}");
+    assert!(failed * 3 < CALLERS, "{failed} of {CALLERS}");
 }
 
-/// Guards against hosts that no caller is sent to because an answer holds only the first by name.
+/// Guards against hosts that never receive callers because a response always lists the first hosts by
+/// name.
 #[test]
-fn every_host_is_named_where_there_are_more_than_an_answer_holds() {
+fn every_host_is_chosen_when_there_are_more_than_a_response_holds() {
     let hosts = hosts(&[("a1", 100), ("a2", 100)]);
     let mut random = SeededRandom::new(1);
 
-    let mut named: Vec<Name> =
+    let mut chosen: Vec<Name> =
         (0..100).flat_map(|_| choose(&area(&[]), &hosts, &mut random)).collect();
-    named.sort();
-    named.dedup();
+    chosen.sort();
+    chosen.dedup();
 
-    assert_eq!(named.len(), hosts.len());
+    assert_eq!(chosen.len(), hosts.len());
     assert_eq!(choose(&area(&[]), &hosts, &mut random).len(), BOUNDS.max_hosts);
 }
 
-/// Guards against bodies that are sent to a host in a region which is neither the caller's nor a home.
+/// Guards against request bodies that are sent to a region which is neither the caller's nor a home region.
 #[test]
-fn a_third_region_is_named_only_where_nothing_else_is_left() {
+fn a_third_region_is_chosen_only_if_there_is_no_other() {
     let mut random = SeededRandom::new(1);
     let area = area(&["b1"]);
     let zones_of = |hosts: Vec<KnownHost>, random: &mut SeededRandom| {
-        let named = choose(&area, &hosts, random);
-        let mut zones: Vec<String> = named.iter().map(|host| host[..2].to_owned()).collect();
+        let chosen = choose(&area, &hosts, random);
+        let mut zones: Vec<String> = chosen.iter().map(|host| host[..2].to_owned()).collect();
         zones.dedup();
         zones
     };
