--- a/crates/cuminramp-fleet/src/fixtures.rs
+++ b/crates/cuminramp-fleet/src/fixtures.rs
@@ -1,8 +1,8 @@
-//! What several test modules need.
+//! Fixtures shared by several test modules.
 
 use crate::heartbeat::{HostHeartbeat, KnownHost};
 
-/// A host whose callers reach it at `{address}-callers`.
+/// Returns a host whose address for callers is `{address}-callers`.
 pub(crate) fn known_host(address: &str, incarnation: u64, zone: &str) -> KnownHost {
     KnownHost {
         address: address.into(),
@@ -12,7 +12,7 @@
     }
 }
 
-/// A heartbeat of a ready host that has admitted nothing.
+/// Returns a heartbeat of a ready host that has admitted nothing.
 pub(crate) fn host_heartbeat(host: KnownHost, sequence: u64) -> HostHeartbeat {
     HostHeartbeat {
         host,
--- a/crates/cuminramp-fleet/src/heartbeat.rs
+++ b/crates/cuminramp-fleet/src/heartbeat.rs
@@ -1,11 +1,12 @@
-//! What hosts tell each other many times a second.
+//! Heartbeats, in which hosts report their state to each other many times a second.
 
 use cuminramp_core::{AvailabilityZone, Incarnation, Name, hash_parts};
 use serde::{Deserialize, Serialize};
 
 use crate::drains::ZoneDrain;
 
-/// The short form of a name in heartbeats; the names themselves would make up most of a heartbeat's bytes.
+/// Returns the hash that stands for a name in heartbeats. The names themselves would make up most of a
+/// heartbeat's bytes.
 ///
 /// ```
 /// assert_eq!(cuminramp_fleet::name_hash("a"), cuminramp_fleet::name_hash("a"));
@@ -15,103 +16,107 @@
     hash_parts(&[name]) as u32
 }
 
-/// What one host has in flight at one target.
+/// Requests and items that one host has in flight at one target.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TargetLoad {
-    /// The target, as [`name_hash`] gives it.
+    /// Hash of the target's name, see [`name_hash`].
     pub target: u32,
-    /// Online requests.
+    /// Number of online requests.
     pub online: u16,
-    /// Batch items.
+    /// Number of batch items.
     pub batch: u16,
 }
 
-/// What a target said of its own load in an answer.
+/// Load that a target reported in a response.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReportedLoad {
-    /// The target, as [`name_hash`] gives it.
+    /// Hash of the target's name, see [`name_hash`].
     pub target: u32,
-    /// Requests that it ran or let wait.
+    /// Number of requests that it was running or had queued.
     pub busy: u16,
 }
 
-/// What one host has admitted of one team since its start.
+/// Requests of one team that one host has admitted since its start.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TeamUsage {
-    /// The team, as [`name_hash`] gives it.
+    /// Hash of the team's name, see [`name_hash`].
     pub team: u32,
-    /// Requests admitted since the host's start; it only grows.
+    /// Number of requests admitted since the host's start. It only grows.
     pub admitted: u32,
-    /// Tokens of the whole fleet that are left, as the host sees it; negative where it owes some.
+    /// Tokens left in the team's fleet-wide bucket, as computed by the host; negative if the bucket is in
+    /// debt.
     pub level: i32,
 }
 
-/// A request that broke targets, told to others so that it does not break theirs.
+/// Crash count of a poison request, reported to other hosts so that they don't send the request to more
+/// targets.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CrashCount {
-    /// The request's team, path and body, hashed.
+    /// Hash of the request's team, path and body.
     pub fingerprint: u64,
-    /// Targets that it took.
+    /// Number of targets that it crashed.
     pub crashes: u32,
 }
 
-/// A job that its caller ended, told to others: the host that works on it may not hear of its row for
-/// seconds while the store is slow.
+/// Job that its caller ended. It is reported to other hosts because the holder of the job may receive the
+/// changed row only seconds later while the store is slow.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EndedJob {
-    /// The job.
+    /// Name of the job.
     pub job: Name,
-    /// The version of its row that ended it.
+    /// Version of its row that ended it.
     pub version: u64,
 }
 
-/// Where a host can be reached, passed on by hosts that know it.
+/// Addresses, incarnation and zone of a host, passed on by hosts that know it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KnownHost {
-    /// Where other hosts reach it, `ip:port`.
+    /// Address for other hosts, `ip:port`.
     pub address: Name,
-    /// Its latest run.
+    /// Its latest known incarnation.
     pub incarnation: Incarnation,
-    /// Where callers reach it, `ip:port`.
+    /// Address for callers, `ip:port`.
     pub caller_address: Name,
     /// Its availability zone.
     pub zone: AvailabilityZone,
 }
 
-/// The whole of what a host tells of itself. A heartbeat replaces the one before it, so a lost, repeated
-/// or late one does no harm.
+/// State that a host reports about itself. A heartbeat replaces the one before it, so a lost, repeated or
+/// late one does no harm.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HostHeartbeat {
-    /// The sender.
+    /// Sender of the heartbeat.
     pub host: KnownHost,
-    /// Grows with each heartbeat of a run; a lower one came late and is dropped.
+    /// Number that grows with each heartbeat of an incarnation. A heartbeat whose number isn't higher than
+    /// that of the latest is late or repeated and is dropped.
     pub sequence: u64,
-    /// Whether it takes requests.
+    /// Whether the sender accepts requests.
     pub is_ready: bool,
-    /// Whether it has ended its last admission and will not admit again in this run.
+    /// Whether the sender has stopped admitting requests for the rest of this incarnation.
     pub has_left: bool,
-    /// Whether the receiver should answer with a heartbeat of its own at once, as a new host asks.
+    /// Whether the receiver should answer with its own heartbeat at once; set in join requests.
     pub wants_answer: bool,
-    /// Whether that answer should name hosts: the sender knows hardly any.
+    /// Whether that answer should list known hosts; set if the sender knows hardly any.
     pub wants_hosts: bool,
-    /// Whether the store answers it.
+    /// Whether the sender can reach the store.
     pub reaches_store: bool,
-    /// Version of the declarations that it has in force.
+    /// Version of the declarations that the sender applies.
     pub declarations: u64,
-    /// Version up to which it knows the targets.
+    /// Version up to which the sender knows the targets.
     pub targets: u64,
-    /// What it has admitted of teams, all of them or those that asked lately.
+    /// Usage of teams: of all that the sender admitted requests of, or only of those whose usage changed
+    /// recently.
     pub usage: Vec<TeamUsage>,
-    /// Whether `usage` names every team of which it admitted anything.
+    /// Whether `usage` lists every team that the sender admitted requests of, as in a full heartbeat.
     pub is_usage_full: bool,
-    /// Whether it has been up for long enough to know the levels.
+    /// Whether the sender has been up for long enough that others can adopt its token levels.
     pub is_settled: bool,
-    /// Some of the hosts it knows.
+    /// Some of the hosts that the sender knows.
     pub known_hosts: Vec<KnownHost>,
-    /// Requests that broke targets under its eyes lately.
+    /// Requests that recently crashed targets while the sender ran them.
     pub crash_counts: Vec<CrashCount>,
-    /// Jobs that were ended through it lately.
+    /// Jobs that callers recently ended through the sender.
     pub ended: Vec<EndedJob>,
-    /// Zones that are drained, and those that were lately.
+    /// Zones that are drained or were until recently.
     pub drains: Vec<ZoneDrain>,
 }
--- a/crates/cuminramp-fleet/src/lib.rs
+++ b/crates/cuminramp-fleet/src/lib.rs
@@ -1,19 +1,22 @@
-//! Decisions of hosts that share load, rate and jobs without a coordinator.
+//! State machines with which hosts share load, rate limits and jobs without a coordinator.
 //!
-//! Nothing here does I/O. The gateway feeds these machines with events and the time, and carries out
-//! what they decide:
+//! This crate does no I/O. The gateway passes events and the current time to these types and carries out
+//! their decisions:
 //!
-//! - [`FleetDeclarations`] says which routes, pools, teams and keys are in force;
-//! - [`HostHeartbeat`] is what hosts tell each other many times a second, and [`PeerTable`] what a host
-//!   believes of the others by it;
-//! - [`QuotaTable`] holds teams to their rate and burst over all hosts;
-//! - [`PlacementTable`] knows what is in flight at targets, and which of them fail;
-//! - [`DrainTable`] knows the availability zones that operators drained, and [`RegionMap`] where work of a
-//!   route or team may run;
-//! - [`SlotLedger`] hands out the slots of a group of targets, which one host owns, and says which items
-//!   give way; [`SlotSearch`] asks owners, [`OwnerTable`] says who they are;
-//! - [`AcceptanceView`] says what follows each try to make a job durable;
-//! - [`allocate_slots`] says whose items go first where fewer slots are free than items wait;
+//! - [`FleetDeclarations`] contains the routes, pools, teams and keys in force;
+//! - [`HostHeartbeat`] is the state that hosts report to each other many times a second, and [`PeerTable`]
+//!   records the state of the other hosts;
+//! - [`QuotaTable`] enforces the rate and burst of teams over all hosts;
+//! - [`PlacementTable`] tracks the work in flight at targets, and which targets fail;
+//! - [`DrainTable`] contains the availability zones that operators have drained, and [`RegionMap`] the
+//!   zones in which the work of a route or team may run;
+//! - [`SlotLedger`] grants the slots of a group of targets, which one host owns, and decides which items
+//!   are preempted; [`SlotSearch`] sends slot requests to owners, which [`OwnerTable`] determines;
+//! - [`RowCache`] contains the rows of a watched table, from the store and from other hosts;
+//! - [`SteeringArea`] selects the hosts that callers are steered to, and [`HeartbeatSchedule`] derives the
+//!   intervals of heartbeats from the number of hosts;
+//! - [`AcceptanceView`] returns the next step after each attempt to make a job durable;
+//! - [`allocate_slots`] decides whose items run first when fewer slots are free than items wait;
 //! - [`JobTable`] orders the items of the jobs that this host holds.
 
 mod acceptance;
--- a/crates/cuminramp-fleet/src/message.rs
+++ b/crates/cuminramp-fleet/src/message.rs
@@ -5,19 +5,19 @@
 use crate::heartbeat::HostHeartbeat;
 use crate::slots::{OwnerFailure, SlotCommand, SlotReport, SlotRequest, SlotResponse};
 
-/// One datagram. Each kind may get lost, come twice or come late without harm.
+/// Content of one datagram. A lost, repeated or late datagram of any kind does no harm.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum HostMessage {
-    /// What a host tells of itself.
+    /// State that a host reports about itself.
     Heartbeat(HostHeartbeat),
-    /// What a host has in flight in a group, to the owner of its slots.
+    /// Load that a host has in flight at a group's targets, sent to the owner of the group's slots.
     Report(SlotReport),
-    /// A request's question for a slot.
+    /// Slot request for one online request, sent to the owner.
     Request(SlotRequest),
-    /// The answer to it.
+    /// Response of the owner to a slot request.
     Response(SlotResponse),
-    /// What a host does with its batch items.
+    /// Command of the owner to start or preempt a host's batch items.
     Command(SlotCommand),
-    /// An owner was found silent.
+    /// Report that the owner of a group is silent.
     OwnerFailure(OwnerFailure),
 }
