--- a/crates/cuminramp-fleet/src/peers.rs
+++ b/crates/cuminramp-fleet/src/peers.rs
@@ -1,4 +1,7 @@
-//! What a host believes of the others.
+//! Table of the other hosts: their latest heartbeats, and which of them are alive, silent or lost.
+//!
+//! A host is alive while its heartbeats arrive within the timeout of [`HeartbeatSchedule`], and silent
+//! otherwise.
 
 use std::time::Duration;
 
@@ -9,41 +12,42 @@
 use crate::schedule::HeartbeatSchedule;
 use crate::steering::{SteeringArea, SteeringBounds};
 
-/// How long a host that is not heard is still named to callers where hardly any other is: longer, and
-/// callers would be sent to hosts that are gone.
-const NAME_UNHEARD_FOR: Duration = Duration::from_secs(5);
+/// Time after its last heartbeat during which callers may still be steered to a silent host if hardly any
+/// host is alive. A longer time would steer callers to hosts that are gone.
+const SILENT_HOST_STEERING_TTL: Duration = Duration::from_secs(5);
 
-/// When a host is no longer believed to be there.
+/// Settings that determine when a host is lost.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerPolicy {
-    /// Silence after which a host's jobs are taken over; at least twice that after which it counts
-    /// as silent.
+    /// Time without a heartbeat after which a host's jobs are taken over. If it is less than twice the timeout
+    /// after which the host is silent, twice that timeout applies.
     pub lost: Duration,
 }
 
-/// What is known of one host.
+/// State of one other host.
 #[derive(Clone, Debug)]
 pub struct PeerRecord {
-    /// Where it is.
+    /// Addresses, incarnation and zone of the host.
     pub host: KnownHost,
-    /// When a heartbeat came last; `None` if none has come from this run.
+    /// Time of the last heartbeat from this incarnation; `None` if none has arrived, or none since
+    /// [`PeerTable::reset_liveness`].
     pub last_heartbeat_at: Option<Instant>,
-    /// When this run became known.
+    /// Time at which this incarnation became known.
     pub known_at: Instant,
-    /// The newest heartbeat.
+    /// Latest heartbeat.
     pub heartbeat: Option<HostHeartbeat>,
-    /// It has said that it admits nothing any more.
+    /// Whether the host has reported that it no longer admits requests.
     pub has_left: bool,
 }
 
 impl PeerRecord {
-    /// Its identity.
+    /// Returns the host's address and incarnation.
     pub fn id(&self) -> HostId {
         HostId { address: self.host.address.clone(), incarnation: self.host.incarnation }
     }
 }
 
-/// All other hosts that this host knows.
+/// All other hosts that the local host knows.
 #[derive(Debug)]
 pub struct PeerTable {
     me: KnownHost,
@@ -53,17 +57,18 @@
 }
 
 impl PeerTable {
-    /// Knows nobody yet.
+    /// Creates a table without other hosts.
     pub fn new(me: KnownHost, policy: PeerPolicy) -> Self {
         PeerTable { me, policy, schedule: HeartbeatSchedule::new(1, 1), peers: SortedMap::new() }
     }
 
-    /// This host.
+    /// Returns the local host.
     pub fn me(&self) -> &KnownHost {
         &self.me
     }
 
-    /// Takes note of a host that a row or another host names; says whether this run was unknown.
+    /// Records a host that a row or another host lists. Returns whether this incarnation is new,
+    /// that is, higher than the recorded one.
     pub fn discover(&mut self, host: &KnownHost, now: Instant) -> bool {
         if host.address == self.me.address {
             return false;
@@ -80,11 +85,11 @@
             has_left: false,
         };
         self.peers.insert(host.address.clone(), record);
-        self.schedule = self.make_schedule();
+        self.schedule = self.compute_schedule();
         true
     }
 
-    /// Takes a heartbeat; `false` if it is older than what is known.
+    /// Records a heartbeat. Returns `false` if it is older than the latest one or from the local host.
     pub fn receive_heartbeat(&mut self, heartbeat: HostHeartbeat, now: Instant) -> bool {
         if heartbeat.host.address == self.me.address {
             return false;
@@ -93,9 +98,9 @@
         let Some(record) = self.peers.get_mut(&heartbeat.host.address) else {
             return false;
         };
-        let is_old = record.host.incarnation > heartbeat.host.incarnation
+        let is_outdated = record.host.incarnation > heartbeat.host.incarnation
             || record.heartbeat.as_ref().is_some_and(|held| held.sequence >= heartbeat.sequence);
-        if is_old {
+        if is_outdated {
             return false;
         }
         record.last_heartbeat_at = Some(now);
@@ -104,36 +109,36 @@
         true
     }
 
-    /// Forgets when every host was last heard, as after a pause of this host: what it believes is
-    /// as old as the pause was long.
+    /// Clears the times of all last heartbeats. Needed after a pause of this process, because the states in
+    /// the table are then at least as old as the pause was long.
     pub fn reset_liveness(&mut self) {
         for (_, record) in self.peers.iter_mut() {
             record.last_heartbeat_at = None;
         }
     }
 
-    /// Takes a host out that the table no longer lists.
+    /// Removes a host that the store's table of hosts no longer lists.
     pub fn forget(&mut self, address: &str) {
         self.peers.remove(address);
-        self.schedule = self.make_schedule();
+        self.schedule = self.compute_schedule();
     }
 
-    /// Every other host.
+    /// Returns the records of all other hosts.
     pub fn iter(&self) -> impl Iterator<Item = &PeerRecord> {
         self.peers.values()
     }
 
-    /// One host.
+    /// Returns the record of one host.
     pub fn get(&self, address: &str) -> Option<&PeerRecord> {
         self.peers.get(address)
     }
 
-    /// How often hosts send heartbeats now.
+    /// Returns the heartbeat schedule for the current number of hosts.
     pub fn schedule(&self) -> HeartbeatSchedule {
         self.schedule
     }
 
-    fn make_schedule(&self) -> HeartbeatSchedule {
+    fn compute_schedule(&self) -> HeartbeatSchedule {
         let others = self.peers.values().filter(|record| !record.has_left);
         let (all, near) = others.fold((1, 1), |(all, near), record| {
             (all + 1, near + usize::from(record.host.zone == self.me.zone))
@@ -145,25 +150,27 @@
         self.schedule.timeout(record.host.zone == self.me.zone)
     }
 
-    /// Whether a host was heard lately. Until then callers are sent to it, and its share of rates
-    /// need not be kept for it.
+    /// Returns whether a heartbeat of the host arrived within the timeout. While it is alive, callers are
+    /// steered to it, and no share of the rates is reserved for it.
     pub fn is_alive(&self, record: &PeerRecord, now: Instant) -> bool {
         record.last_heartbeat_at.is_some_and(|at| now.duration_since(at) < self.timeout(record))
     }
 
-    /// Hosts that were heard lately, and all that may be admitting requests, this one included.
+    /// Returns the number of alive hosts and the number of all hosts that may be admitting requests. Both
+    /// include the local host.
     pub fn count_alive(&self, now: Instant) -> (usize, usize) {
         let others = self.peers.values().filter(|record| !record.has_left);
-        let (mut heard, mut all) = (1, 1);
+        let (mut alive, mut all) = (1, 1);
         for record in others {
             all += 1;
-            heard += usize::from(self.is_alive(record, now));
+            alive += usize::from(self.is_alive(record, now));
         }
-        (heard, all)
+        (alive, all)
     }
 
-    /// Whether a run is surely or probably over, so that its jobs can be taken over; what it still
-    /// writes is refused by the version of the job's row.
+    /// Returns whether an incarnation has ended or is presumed to have ended, so that its jobs can be taken
+    /// over. If it is still running, its writes are rejected because the version of the job's row has
+    /// changed.
     pub fn is_lost(&self, id: &HostId, now: Instant) -> bool {
         if id.address == self.me.address {
             return id.incarnation != self.me.incarnation;
@@ -174,21 +181,22 @@
         if record.host.incarnation != id.incarnation || record.has_left {
             return record.host.incarnation > id.incarnation || record.has_left;
         }
-        let since = record.last_heartbeat_at.unwrap_or(record.known_at);
-        now.duration_since(since) > self.policy.lost.max(self.timeout(record) * 2)
+        let last_seen = record.last_heartbeat_at.unwrap_or(record.known_at);
+        now.duration_since(last_seen) > self.policy.lost.max(self.timeout(record) * 2)
     }
 
-    /// Whether at least half of the others are heard: a host that hears fewer is itself the one cut
-    /// off, and takes over nothing.
+    /// Returns whether at least half of all hosts are alive, the local host included. With fewer, the local
+    /// host is itself presumed to be cut off and takes over no jobs.
     pub fn has_majority(&self, now: Instant) -> bool {
-        let (heard, all) = self.count_alive(now);
-        heard * 2 >= all
+        let (alive, all) = self.count_alive(now);
+        alive * 2 >= all
     }
 
-    /// Hosts that take requests and were heard lately, with their zones; this one among them if it does.
-    pub fn live(&self, is_me_ready: bool, now: Instant) -> Vec<(HostId, &AvailabilityZone)> {
+    /// Returns the alive hosts that accept requests, with their zones. Includes the local host if
+    /// `is_local_ready`.
+    pub fn live(&self, is_local_ready: bool, now: Instant) -> Vec<(HostId, &AvailabilityZone)> {
         let mut live = Vec::new();
-        if is_me_ready {
+        if is_local_ready {
             let address = self.me.address.clone();
             live.push((HostId { address, incarnation: self.me.incarnation }, &self.me.zone));
         }
@@ -201,10 +209,10 @@
         live
     }
 
-    /// A host that the store answers, for one that it does not: of this zone if there is one, by a
-    /// number that spreads the work.
+    /// Returns an alive host that can reach the store, for use by a local host that can't. A host of the
+    /// local zone is preferred; different values of `spread` select different hosts, which spreads the load.
     pub fn store_relay(&self, spread: usize, now: Instant) -> Option<Name> {
-        let able: Vec<&PeerRecord> = self
+        let relays: Vec<&PeerRecord> = self
             .peers
             .values()
             .filter(|record| !record.has_left && self.is_alive(record, now))
@@ -213,31 +221,33 @@
             })
             .collect();
         let is_near = |record: &&&PeerRecord| record.host.zone == self.me.zone;
-        let near: Vec<&&PeerRecord> = able.iter().filter(is_near).collect();
-        let chosen = match near.is_empty() {
-            true if able.is_empty() => return None,
-            true => able[spread % able.len()],
+        let near: Vec<&&PeerRecord> = relays.iter().filter(is_near).collect();
+        let relay = match near.is_empty() {
+            true if relays.is_empty() => return None,
+            true => relays[spread % relays.len()],
             false => near[spread % near.len()],
         };
-        Some(chosen.host.address.clone())
+        Some(relay.host.address.clone())
     }
 
-    /// Whether more than half of the hosts of a zone are heard, this one included; of all hosts where the
-    /// zone has none. No two hosts that do not hear each other both hear most.
+    /// Returns whether more than half of the hosts of a zone are alive, the local host included; if the zone
+    /// has no hosts, whether more than half of all hosts are. At most one side of a partition can have a
+    /// majority.
     pub fn has_majority_in(&self, zone: &str, now: Instant) -> bool {
         let in_zone: Vec<&PeerRecord> =
             self.peers.values().filter(|record| *record.host.zone == *zone).collect();
         let present = in_zone.iter().filter(|record| !record.has_left).count();
         let own = usize::from(*self.me.zone == *zone);
         if present + own == 0 {
-            let (heard, all) = self.count_alive(now);
-            return heard * 2 > all;
+            let (alive, all) = self.count_alive(now);
+            return alive * 2 > all;
         }
         let is_alive = |record: &&&PeerRecord| !record.has_left && self.is_alive(record, now);
         (in_zone.iter().filter(is_alive).count() + own) * 2 > present + own
     }
 
-    /// Whether a zone has hosts and none of them is heard: it is lost, or cut off from this one.
+    /// Returns whether a zone has hosts but none of them is alive: the zone has failed or is cut off from
+    /// the local host.
     pub fn is_zone_silent(&self, zone: &str, now: Instant) -> bool {
         if *self.me.zone == *zone {
             return false;
@@ -247,26 +257,28 @@
         known.peek().is_some() && known.all(|record| !self.is_alive(record, now))
     }
 
-    /// How many hosts come before this one in the order that rendezvous gives them for a key.
+    /// Returns the number of hosts that precede the local host in the rendezvous hashing order of a key.
     pub fn rank(&self, key: &str) -> usize {
         let own = rendezvous_score(key, &self.me.address);
         let others = self.peers.values().filter(|record| !record.has_left);
         others.filter(|record| rendezvous_score(key, &record.host.address) > own).count()
     }
 
-    /// Live hosts for callers of an area, as it chooses them. Where hardly any other is heard, those that
-    /// were heard or became known a moment ago; a host that hears less than half of all names those of zones
-    /// that fell silent as a whole, which callers may still reach.
+    /// Returns the caller addresses that the area selects among the alive hosts that accept requests.
+    ///
+    /// Silent hosts whose last heartbeat or discovery is recent are added in two cases. If there is at most
+    /// one alive host that accepts requests, all of them are added. If less than half of all hosts are
+    /// alive, those in zones that are silent as a whole are added, because callers may still reach them.
     pub fn steer(
         &self,
         area: &SteeringArea,
-        is_me_ready: bool,
+        is_local_ready: bool,
         bounds: SteeringBounds,
         random: &mut dyn RandomSource,
         now: Instant,
     ) -> Vec<Name> {
         let mut live: Vec<&KnownHost> = Vec::new();
-        if is_me_ready {
+        if is_local_ready {
             live.push(&self.me);
         }
         for record in self.peers.values() {
@@ -277,15 +289,16 @@
         }
         let is_alone = live.len() <= 1;
         if is_alone || !self.has_majority(now) {
-            let unheard = self.peers.values().filter(|record| !record.has_left);
-            let recent = unheard.filter(|record| {
-                let since = record.last_heartbeat_at.unwrap_or(record.known_at);
-                !self.is_alive(record, now) && now.duration_since(since) < NAME_UNHEARD_FOR
+            let candidates = self.peers.values().filter(|record| !record.has_left);
+            let recent = candidates.filter(|record| {
+                let last_seen = record.last_heartbeat_at.unwrap_or(record.known_at);
+                !self.is_alive(record, now)
+                    && now.duration_since(last_seen) < SILENT_HOST_STEERING_TTL
             });
-            // A zone that is silent as a whole is more likely cut off from this host than lost.
-            let named =
+            // A zone that is silent as a whole is more likely cut off from the local host than down.
+            let steerable =
                 recent.filter(|record| is_alone || self.is_zone_silent(&record.host.zone, now));
-            live.extend(named.map(|record| &record.host));
+            live.extend(steerable.map(|record| &record.host));
         }
         area.choose(&live, bounds, random)
     }
--- a/crates/cuminramp-fleet/src/peers/tests.rs
+++ b/crates/cuminramp-fleet/src/peers/tests.rs
@@ -17,13 +17,13 @@
     table.steer(&area(zone), true, bounds, &mut SeededRandom::new(1), Instant::now())
 }
 
-fn hear_all(table: &mut PeerTable, hosts: &[&str], zone: &str, sequence: u64) {
+fn receive_all(table: &mut PeerTable, hosts: &[&str], zone: &str, sequence: u64) {
     for host in hosts {
         table.receive_heartbeat(heartbeat(known(host, 1, zone), sequence), Instant::now());
     }
 }
 
-/// Hosts named to callers of the first zone of a region with two.
+/// Returns the hosts for callers in zone `z1` of a region with the zones `z1` and `z2`.
 fn steer_in_region(table: &PeerTable) -> Vec<Name> {
     let area = SteeringArea { region_zones: vec!["z1".into(), "z2".into()], ..area("z1") };
     let bounds = SteeringBounds { min_near: 2, max_hosts: 64 };
@@ -35,10 +35,10 @@
     PeerTable::new(known("a", 1, "z1"), policy)
 }
 
-/// A host dies without a word. Callers that were sent to it would wait a second for each
-/// connection that nobody accepts.
+/// A host crashes without reporting that it leaves. Callers steered to it would wait a second for each
+/// connection, which nobody accepts.
 #[tokio::test(start_paused = true)]
-async fn callers_are_not_sent_to_a_host_that_fell_silent() {
+async fn callers_are_not_steered_to_a_silent_host() {
     let mut table = table();
     table.receive_heartbeat(heartbeat(known("b", 1, "z1"), 1), Instant::now());
 
@@ -51,25 +51,25 @@
     assert_eq!(after.iter().map(|name| &**name).collect::<Vec<_>>(), ["a-callers", "c-callers"]);
 }
 
-/// A datagram overtakes a later one, or one of an earlier run arrives late. Its load would be
-/// counted in place of the present one.
+/// A heartbeat arrives after a later one, or is left over from an earlier incarnation. Its state would
+/// replace the current one.
 #[tokio::test(start_paused = true)]
-async fn a_heartbeat_that_came_late_is_dropped() {
+async fn a_late_heartbeat_is_dropped() {
     let mut table = table();
     let now = Instant::now();
 
-    let heard = [
+    let accepted = [
         table.receive_heartbeat(heartbeat(known("b", 2, "z1"), 5), now),
         table.receive_heartbeat(heartbeat(known("b", 2, "z1"), 4), now),
         table.receive_heartbeat(heartbeat(known("b", 1, "z1"), 9), now),
         table.receive_heartbeat(heartbeat(known("b", 3, "z1"), 1), now),
     ];
 
-    assert_eq!(heard, [true, false, false, true]);
+    assert_eq!(accepted, [true, false, false, true]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn jobs_of_an_earlier_run_and_of_a_silent_host_may_be_taken_over() {
+async fn jobs_of_an_earlier_incarnation_and_of_a_silent_host_may_be_taken_over() {
     let mut table = table();
     let id = |incarnation| HostId { address: "b".into(), incarnation };
     table.receive_heartbeat(heartbeat(known("b", 2, "z1"), 1), Instant::now());
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_zone_with_too_few_hosts_gets_those_of_others() {
+async fn callers_of_a_zone_with_too_few_hosts_receive_hosts_of_other_zones() {
     let mut table = table();
     table.receive_heartbeat(heartbeat(known("b", 1, "z2"), 1), Instant::now());
 
@@ -91,10 +91,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_host_cut_off_from_the_store_asks_one_that_is_not() {
+async fn the_store_relay_is_a_host_that_can_reach_the_store() {
     let mut table = table();
-    let cut_off = HostHeartbeat { reaches_store: false, ..heartbeat(known("b", 1, "z1"), 1) };
-    table.receive_heartbeat(cut_off, Instant::now());
+    let without_store = HostHeartbeat { reaches_store: false, ..heartbeat(known("b", 1, "z1"), 1) };
+    table.receive_heartbeat(without_store, Instant::now());
     let none = table.store_relay(0, Instant::now());
 
     table.receive_heartbeat(heartbeat(known("c", 1, "z2"), 1), Instant::now());
@@ -105,52 +105,56 @@
     assert_eq!((none, far.as_deref(), near.as_deref()), (None, Some("c"), Some("d")));
 }
 
-/// Guards against a zone that counts as lost while one of its hosts is heard, or since it has none.
+/// Guards against a zone that counts as silent although one of its hosts is alive, or because it has none.
 #[tokio::test(start_paused = true)]
-async fn a_zone_is_silent_only_when_all_its_hosts_are() {
+async fn a_zone_is_silent_only_if_all_its_hosts_are() {
     let mut table = table();
     table.receive_heartbeat(heartbeat(known("b", 1, "z2"), 1), Instant::now());
     table.receive_heartbeat(heartbeat(known("c", 1, "z2"), 1), Instant::now());
     advance(Duration::from_secs(5)).await;
-    let all_silent = table.is_zone_silent("z2", Instant::now());
+    let is_silent_without_heartbeats = table.is_zone_silent("z2", Instant::now());
 
     table.receive_heartbeat(heartbeat(known("c", 1, "z2"), 2), Instant::now());
 
-    let one_heard = table.is_zone_silent("z2", Instant::now());
+    let is_silent_with_one_alive = table.is_zone_silent("z2", Instant::now());
     let others = ["z1", "z3"].map(|zone| table.is_zone_silent(zone, Instant::now()));
-    assert_eq!((all_silent, one_heard, others), (true, false, [false, false]));
+    assert_eq!(
+        (is_silent_without_heartbeats, is_silent_with_one_alive, others),
+        (true, false, [false, false])
+    );
 }
 
-/// Guards against two parts of a fleet that both take themselves for the larger one.
+/// Guards against two sides of a partition that both find that they have a majority.
 #[tokio::test(start_paused = true)]
-async fn a_host_that_hears_half_of_a_zone_does_not_hear_most_of_it() {
+async fn half_of_a_zone_is_no_majority() {
     let mut table = table();
     for address in ["b", "c", "d"] {
         table.receive_heartbeat(heartbeat(known(address, 1, "z1"), 1), Instant::now());
     }
-    let all = table.has_majority_in("z1", Instant::now());
+    let with_all = table.has_majority_in("z1", Instant::now());
     advance(Duration::from_secs(5)).await;
     table.receive_heartbeat(heartbeat(known("b", 1, "z1"), 2), Instant::now());
 
-    let half = table.has_majority_in("z1", Instant::now());
+    let with_half = table.has_majority_in("z1", Instant::now());
 
-    assert_eq!((all, half), (true, false));
+    assert_eq!((with_all, with_half), (true, false));
 }
 
-/// Guards against callers who learn of hosts in a cut-off zone only, while they could reach all others.
+/// Guards against callers that receive only the hosts of a cut-off zone although they could reach all
+/// others.
 #[tokio::test(start_paused = true)]
-async fn a_host_whose_zone_is_cut_off_goes_on_naming_hosts_of_others_for_a_while() {
+async fn a_host_in_a_cut_off_zone_steers_callers_to_other_zones_for_a_while() {
     let mut table = table();
-    hear_all(&mut table, &["b", "c"], "z1", 1);
-    hear_all(&mut table, &["d", "e", "f", "g"], "z2", 1);
+    receive_all(&mut table, &["b", "c"], "z1", 1);
+    receive_all(&mut table, &["d", "e", "f", "g"], "z2", 1);
     let before = steer_in_region(&table).len();
 
     advance(Duration::from_secs(3)).await;
-    hear_all(&mut table, &["b", "c"], "z1", 2);
-    let while_cut = steer_in_region(&table).len();
+    receive_all(&mut table, &["b", "c"], "z1", 2);
+    let during_partition = steer_in_region(&table).len();
     advance(Duration::from_secs(3)).await;
-    hear_all(&mut table, &["b", "c"], "z1", 3);
-    let after_long = steer_in_region(&table).len();
+    receive_all(&mut table, &["b", "c"], "z1", 3);
+    let after_ttl = steer_in_region(&table).len();
 
-    assert_eq!((before, while_cut, after_long), (6, 6, 3));
+    assert_eq!((before, during_partition, after_ttl), (6, 6, 3));
 }
