--- a/crates/cuminramp-fleet/src/row_cache/tests.rs
+++ b/crates/cuminramp-fleet/src/row_cache/tests.rs
@@ -23,45 +23,45 @@
     cache.rows().map(|row| row.key.as_str()).collect()
 }
 
-/// A host asks another for news just before it hears from the store that a target leaves, and the
-/// other had not heard of it yet. Were the row taken back, requests would go to a target that
-/// leaves, for as long as nobody says so again.
+/// A host requests updates from another host and then receives the deletion of a target's row from the
+/// store, which the other host has not received yet. If the row reappeared, requests would go to a
+/// leaving target until the deletion is reported again.
 #[tokio::test(start_paused = true)]
-async fn a_row_that_ended_does_not_come_back_by_late_news() {
+async fn a_deleted_row_does_not_reappear_through_late_updates() {
     let mut cache = cache(&["a", "b"]);
     cache.apply_changes(vec![changed("a", 12, true)], 12, false, Instant::now());
 
     let late = cache.apply_updates(vec![row("a", 1), row("b", 2)], 11);
-    let whole = cache.apply_snapshot(vec![row("a", 1), row("b", 2)], 11, Instant::now());
+    let snapshot = cache.apply_snapshot(vec![row("a", 1), row("b", 2)], 11, Instant::now());
     let newer = cache.apply_updates(vec![row("a", 1), row("b", 2)], 13);
 
-    assert_eq!((late, whole, newer), (vec![], vec![], vec![]));
+    assert_eq!((late, snapshot, newer), (vec![], vec![], vec![]));
     assert_eq!(keys(&cache), ["b"]);
 }
 
-/// The store was away, and the entries of all targets ran out meanwhile. Were they taken for gone
-/// at once, every caller would be refused for two seconds although all targets live.
+/// The store was unavailable, and the entries of all targets expired. If they were removed at once, every
+/// caller would be refused for two seconds although all targets are running.
 #[tokio::test(start_paused = true)]
-async fn entries_that_ran_out_while_the_store_was_away_get_time_to_come_back() {
+async fn entries_that_expired_during_an_outage_have_time_to_be_renewed() {
     let mut cache = cache(&["a", "b", "c", "d"]);
-    let gone = ["a", "b", "c", "d"].map(|key| changed(key, 12, true)).to_vec();
+    let deletions = ["a", "b", "c", "d"].map(|key| changed(key, 12, true)).to_vec();
 
-    let at_once = cache.apply_changes(gone, 12, false, Instant::now());
+    let immediate = cache.apply_changes(deletions, 12, false, Instant::now());
     advance(Duration::from_millis(1_000)).await;
     cache.apply_changes(vec![changed("a", 13, false)], 13, false, Instant::now());
     let early = cache.take_due(Instant::now());
     advance(Duration::from_millis(1_500)).await;
     let due = cache.take_due(Instant::now());
 
-    assert_eq!((at_once, early), (vec![], vec![]));
+    assert_eq!((immediate, early), (vec![], vec![]));
     assert_eq!(due.len(), 3);
     assert_eq!(keys(&cache), ["a"]);
 }
 
-/// The store turned this host away for a moment, and then it hears that a target left. Whether it
-/// ran out or left, callers' requests must not go there two seconds later.
+/// The store is briefly unavailable to this host, and then the host receives the deletion of a target's
+/// row. Whether the entry expired or the target left, no request must go there two seconds later.
 #[tokio::test(start_paused = true)]
-async fn a_target_that_left_beside_trouble_of_the_store_is_gone_within_two_seconds() {
+async fn a_target_that_left_during_an_outage_is_removed_within_two_seconds() {
     let mut cache = cache(&["a", "b"]);
 
     cache.apply_changes(vec![changed("a", 12, true)], 12, true, Instant::now());
@@ -71,11 +71,11 @@
     assert_eq!(keys(&cache), ["b"]);
 }
 
-/// Two hosts hear in the same moment that a target is gone, both doubt it, and one asks the other
-/// for news. That the other still keeps the row says nothing; were it taken for a sign of life,
-/// both would send requests to a target that has left.
+/// Two hosts receive the deletion of a target's row at the same time, both delay the removal, and one
+/// requests updates from the other. The row in the other host's cache doesn't prove that the target is
+/// running. If it did, both hosts would go on sending requests to a target that has left.
 #[tokio::test(start_paused = true)]
-async fn a_host_that_doubts_as_well_is_no_witness() {
+async fn a_row_with_pending_removal_on_another_host_does_not_cancel_the_removal() {
     let mut cache = cache(&["a", "b"]);
     cache.apply_changes(vec![changed("a", 12, true)], 12, true, Instant::now());
 
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_single_target_that_leaves_is_gone_at_once() {
+async fn a_single_target_that_leaves_is_removed_at_once() {
     let mut cache = cache(&["a", "b"]);
 
     let actions = cache.apply_changes(vec![changed("a", 12, true)], 12, false, Instant::now());
@@ -95,10 +95,10 @@
     assert_eq!(actions, [RowAction::Remove { key: "a".into(), version: 12 }]);
 }
 
-/// A whole read is answered late, from before a target came. Its silence about the target means
-/// nothing.
+/// A full snapshot from before a target joined is answered late. It lacks the target's row, which must not
+/// be removed for that.
 #[tokio::test(start_paused = true)]
-async fn an_old_whole_read_makes_nobody_doubt_a_new_row() {
+async fn an_old_snapshot_does_not_remove_a_new_row() {
     let mut cache = cache(&["a"]);
     cache.apply_changes(vec![changed("b", 12, false)], 12, false, Instant::now());
 
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_newer_whole_read_lacks_is_gone_after_a_while() {
+async fn rows_missing_from_a_newer_snapshot_are_removed_after_the_delay() {
     let mut cache = cache(&["a", "b"]);
 
     cache.apply_snapshot(vec![row("a", 1)], 12, Instant::now());
