--- a/crates/cuminramp-fleet/src/peers/tests.rs
+++ b/crates/cuminramp-fleet/src/peers/tests.rs
@@ -112,16 +112,13 @@
     table.receive_heartbeat(heartbeat(known("b", 1, "z2"), 1), Instant::now());
     table.receive_heartbeat(heartbeat(known("c", 1, "z2"), 1), Instant::now());
     advance(Duration::from_secs(5)).await;
-    let is_silent_without_heartbeats = table.is_zone_silent("z2", Instant::now());
+    let all_silent = table.is_zone_silent("z2", Instant::now());
 
     table.receive_heartbeat(heartbeat(known("c", 1, "z2"), 2), Instant::now());
 
-    let is_silent_with_one_alive = table.is_zone_silent("z2", Instant::now());
+    let one_alive = table.is_zone_silent("z2", Instant::now());
     let others = ["z1", "z3"].map(|zone| table.is_zone_silent(zone, Instant::now()));
-    assert_eq!(
-        (is_silent_without_heartbeats, is_silent_with_one_alive, others),
-        (true, false, [false, false])
-    );
+    assert_eq!((all_silent, one_alive, others), (true, false, [false, false]));
 }
 
 /// Guards against two sides of a partition that both find that they have a majority.
--- a/crates/cuminramp-fleet/src/quota.rs
+++ b/crates/cuminramp-fleet/src/quota.rs
@@ -11,9 +11,9 @@
 //!
 //! A silent host may be down, or cut off from this one and still serving; in the latter case it spends
 //! the same tokens. So each admission costs `all / alive` tokens, where `alive` is the number of alive
-//! hosts and `all` the number of all hosts. The partitions of a fleet then stay within the rate
-//! together, for any length of the partition. Admissions reported by alive hosts cost the same: with one
-//! token each, partitions of four and seven hosts out of eleven together spent 1.6 times the rate.
+//! hosts and `all` the number of all hosts. The sides of a network partition then stay within the rate
+//! together, however long it lasts. Admissions reported by alive hosts cost the same: at one token each,
+//! two sides of four and seven hosts out of eleven together spent 1.6 times the rate.
 //!
 //! A process that has just started or was paused can't know how many tokens are spent. Its buckets start
 //! with a small part of the tolerance that operators state, and it adopts lower levels from settled hosts.
@@ -61,17 +61,21 @@
 /// answer its join request within milliseconds; the rest of the window covers lost join requests.
 const SETTLING_WINDOW: Duration = Duration::from_secs(2);
 /// Debt that retried requests may cause: a fraction of the burst, and the maximum number of tokens.
-/// These requests return at the time that they were given; if they were refused again, their callers
-/// would fail.
+/// These requests return at the time that they were given, and a second refusal would make them fail for
+/// their callers.
 const MAX_RETRY_DEBT: (f64, f64) = (0.06, 4.0);
 
+/// Token bucket of one team, and this host's admissions of the team.
 #[derive(Debug)]
 struct TeamAccount {
     rate: f64,
     burst: f64,
+    /// Tokens left at the time `at`; negative if the bucket is in debt.
     level: f64,
     at: Instant,
+    /// Requests that this host has admitted since its start.
     admitted: u32,
+    /// Time of the last change of `admitted`.
     changed_at: Instant,
     /// Refused requests that will be retried and that the rate has not yet produced tokens for.
     expected: f64,
--- a/crates/cuminramp-fleet/src/quota/tests.rs
+++ b/crates/cuminramp-fleet/src/quota/tests.rs
@@ -132,7 +132,7 @@
 /// A partition separates four hosts two and two, and the team's callers reach both sides. If each side
 /// admitted the full rate, the team would get twice its rate.
 #[tokio::test(start_paused = true)]
-async fn partitions_of_a_fleet_stay_within_the_rate_together() {
+async fn both_sides_of_a_partition_stay_within_the_rate_together() {
     let mut sides = [table(), table()];
     advance(Duration::from_secs(10)).await;
     for side in &mut sides {
--- a/crates/cuminramp-fleet/src/quota/tests/partition.rs
+++ b/crates/cuminramp-fleet/src/quota/tests/partition.rs
@@ -12,9 +12,9 @@
 use crate::quota::{QuotaDecision, QuotaTable};
 
 /// Rate and burst of a team with a steady stream of requests.
-const STEADY_LIMITS: (f64, f64) = (20.5, 29.3);
+const STEADY: (f64, f64) = (20.5, 29.3);
 /// Rate and burst of a team that sends rare large bursts.
-const BURSTY_LIMITS: (f64, f64) = (10.0, 100.0);
+const BURSTY: (f64, f64) = (10.0, 100.0);
 const WINDOW: Duration = Duration::from_secs(5);
 const STEP: Duration = Duration::from_millis(5);
 /// Steps between two heartbeats of a host that has admitted nothing .
@@ -126,12 +126,12 @@
     max
 }
 
-fn allowed_in_window((rate, burst): (f64, f64)) -> f64 {
+fn allowed((rate, burst): (f64, f64)) -> f64 {
     rate * WINDOW.as_secs_f64() + burst
 }
 
-fn tolerated_in_window(limits: (f64, f64)) -> f64 {
-    allowed_in_window(limits) * 1.1 + 20.0
+fn tolerated(limits: (f64, f64)) -> f64 {
+    allowed(limits) * 1.1 + 20.0
 }
 
 fn fleet(size: usize, limits: (f64, f64)) -> Vec<FleetHost> {
@@ -151,45 +151,37 @@
 /// If the hosts of one side charged each other's admissions at less than their own, the team would get
 /// 1.6 times its rate during the partition.
 #[tokio::test(start_paused = true)]
-async fn two_partitions_of_several_hosts_stay_within_the_rate_together() {
-    let mut hosts = fleet(11, STEADY_LIMITS);
+async fn two_sides_of_several_hosts_stay_within_the_rate_together() {
+    let mut hosts = fleet(11, STEADY);
     let side_of = |host: usize, elapsed: Duration| {
-        let is_partitioned = elapsed >= Duration::from_secs(2) && elapsed < Duration::from_secs(7);
-        usize::from(is_partitioned && host < 4)
+        let is_split = elapsed >= Duration::from_secs(2) && elapsed < Duration::from_secs(7);
+        usize::from(is_split && host < 4)
     };
 
     let max = run_load(&mut hosts, side_of, |_, _| true).await;
 
-    assert!(
-        max as f64 <= tolerated_in_window(STEADY_LIMITS),
-        "{max} of {}",
-        tolerated_in_window(STEADY_LIMITS)
-    );
+    assert!(max as f64 <= tolerated(STEADY), "{max} of {}", tolerated(STEADY));
 }
 
 /// All links between eleven hosts fail at once while a team sends ten times its rate.
 #[tokio::test(start_paused = true)]
 async fn a_fleet_without_links_stays_within_the_tolerance() {
-    let mut hosts = fleet(11, STEADY_LIMITS);
+    let mut hosts = fleet(11, STEADY);
     let side_of = |host: usize, elapsed: Duration| {
         if elapsed >= Duration::from_secs(2) { host + 1 } else { 0 }
     };
 
     let max = run_load(&mut hosts, side_of, |_, _| true).await;
 
-    assert!(
-        max as f64 <= tolerated_in_window(STEADY_LIMITS),
-        "{max} of {}",
-        tolerated_in_window(STEADY_LIMITS)
-    );
+    assert!(max as f64 <= tolerated(STEADY), "{max} of {}", tolerated(STEADY));
 }
 
 /// Five of eleven hosts are cut off for two seconds, and the team's callers spend the burst there. After
 /// the partition heals, the callers reach the other six hosts, whose buckets are still full. If spent
 /// tokens weren't charged there, the team would get almost half of its burst a second time.
 #[tokio::test(start_paused = true)]
-async fn a_burst_spent_in_one_partition_is_charged_in_the_other() {
-    let mut hosts = fleet(11, BURSTY_LIMITS);
+async fn a_burst_spent_on_one_side_is_charged_on_the_other() {
+    let mut hosts = fleet(11, BURSTY);
     let (start, end) = (Duration::from_millis(500), Duration::from_millis(2_500));
     let side_of =
         |host: usize, elapsed: Duration| usize::from(host < 5 && elapsed >= start && elapsed < end);
@@ -200,16 +192,8 @@
 
     let max = run_load(&mut hosts, side_of, is_used).await;
 
-    assert!(
-        max as f64 <= tolerated_in_window(BURSTY_LIMITS),
-        "{max} of {}",
-        tolerated_in_window(BURSTY_LIMITS)
-    );
-    assert!(
-        max as f64 >= 0.9 * allowed_in_window(BURSTY_LIMITS),
-        "{max} of {}",
-        allowed_in_window(BURSTY_LIMITS)
-    );
+    assert!(max as f64 <= tolerated(BURSTY), "{max} of {}", tolerated(BURSTY));
+    assert!(max as f64 >= 0.9 * allowed(BURSTY), "{max} of {}", allowed(BURSTY));
 }
 
 /// All hosts on a busy machine fall silent for 0.4 s again and again because heartbeats wait behind other
@@ -225,10 +209,6 @@
 
     let max = run_load(&mut hosts, side_of, |_, _| true).await;
 
-    assert!(max as f64 <= tolerated_in_window(limits), "{max} of {}", tolerated_in_window(limits));
-    assert!(
-        max as f64 >= 0.9 * allowed_in_window(limits),
-        "{max} of {}",
-        allowed_in_window(limits)
-    );
+    assert!(max as f64 <= tolerated(limits), "{max} of {}", tolerated(limits));
+    assert!(max as f64 >= 0.9 * allowed(limits), "{max} of {}", allowed(limits));
 }
--- a/crates/cuminramp-fleet/src/schedule.rs
+++ b/crates/cuminramp-fleet/src/schedule.rs
@@ -9,9 +9,9 @@
 
 use tokio::time::Instant;
 
-/// Minimum delay between a change and the heartbeat that reports it. Further changes in the meantime go
-/// out with the same heartbeat.
-const MIN_NEAR_DELAY: Duration = Duration::from_millis(3);
+/// Minimum delay between a change and the heartbeat that reports it, and minimum interval between two near
+/// heartbeats. Further changes in the meantime go out with the same heartbeat.
+const MIN_DELAY: Duration = Duration::from_millis(3);
 /// Minimum interval between two heartbeats to near hosts, per host of the zone. With 29 hosts in a zone,
 /// a host sends some 250 near heartbeats a second under full load.
 const NEAR_DELAY_PER_HOST: Duration = Duration::from_micros(1_000);
@@ -32,8 +32,8 @@
 const MAX_NEAR_INTERVAL: Duration = Duration::from_millis(350);
 /// Maximum number of hosts for which [`HeartbeatSchedule::scale`] returns the base interval.
 const MAX_UNSCALED_HOSTS: u32 = 40;
-/// Heartbeat intervals without a heartbeat after which a host is silent. It tolerates the loss of two
-/// consecutive datagrams.
+/// Number of heartbeat intervals without a heartbeat after which a host is silent. It tolerates the loss of
+/// two consecutive datagrams.
 const TIMEOUT_INTERVALS: f64 = 3.5;
 
 /// Intervals and timeouts of heartbeats between hosts.
@@ -62,7 +62,7 @@
         let near_interval = NEAR_INTERVAL_PER_HOST * near_hosts as u32;
         HeartbeatSchedule {
             hosts: hosts as u32,
-            near_delay: near_delay.max(MIN_NEAR_DELAY).min(MIN_INTERVAL),
+            near_delay: near_delay.max(MIN_DELAY).min(MIN_INTERVAL),
             near_interval: near_interval.clamp(MIN_INTERVAL, MAX_NEAR_INTERVAL),
             far_delay: far_delay.min(MAX_FAR_DELAY),
         }
@@ -114,7 +114,7 @@
 
     /// Brings the next heartbeats forward because something changed that they report.
     pub fn bring_forward(&mut self, schedule: &HeartbeatSchedule, now: Instant) {
-        let earliest = now + MIN_NEAR_DELAY;
+        let earliest = now + MIN_DELAY;
         self.near_due = self.near_due.min(earliest.max(self.near_last + schedule.near_delay));
         self.far_due = self.far_due.min(earliest.max(self.far_last + schedule.far_delay));
     }
--- a/crates/cuminramp-fleet/src/steering.rs
+++ b/crates/cuminramp-fleet/src/steering.rs
@@ -6,7 +6,7 @@
 
 /// Number of hosts of other zones per host of the caller's zone. If a zone fails, callers that know only
 /// hosts of that zone can't reach the fleet until they refresh their list of hosts.
-const OTHER_ZONE_HOSTS_PER_NEAR_HOST: usize = 1;
+const OTHERS_PER_NEAR_HOST: usize = 1;
 
 /// Bounds on the number of hosts that a caller receives.
 #[derive(Clone, Copy, Debug)]
@@ -43,25 +43,22 @@
         bounds: SteeringBounds,
         random: &mut dyn RandomSource,
     ) -> Vec<Name> {
-        let near = caller_addresses(live, |zone| *zone == self.zone);
+        let near = addresses(live, |zone| *zone == self.zone);
         if near.len() >= bounds.min_near {
             let is_other =
                 |zone: &AvailabilityZone| *zone != self.zone && self.region_zones.contains(zone);
-            let others = sample(
-                caller_addresses(live, is_other),
-                near.len() * OTHER_ZONE_HOSTS_PER_NEAR_HOST,
-                random,
-            );
+            let others =
+                sample(addresses(live, is_other), near.len() * OTHERS_PER_NEAR_HOST, random);
             let all = near.into_iter().chain(others).collect();
             return sample(all, bounds.max_hosts, random);
         }
         for zones in [&self.region_zones, &self.home_zones] {
-            let found = caller_addresses(live, |zone| zones.contains(zone));
+            let found = addresses(live, |zone| zones.contains(zone));
             if !found.is_empty() {
                 return sample(found, bounds.max_hosts, random);
             }
         }
-        sample(caller_addresses(live, |_| true), bounds.max_hosts, random)
+        sample(addresses(live, |_| true), bounds.max_hosts, random)
     }
 }
 
@@ -77,10 +74,7 @@
     sampled.into_iter().map(|(_, host)| host).collect()
 }
 
-fn caller_addresses(
-    live: &[&KnownHost],
-    is_included: impl Fn(&AvailabilityZone) -> bool,
-) -> Vec<Name> {
+fn addresses(live: &[&KnownHost], is_included: impl Fn(&AvailabilityZone) -> bool) -> Vec<Name> {
     let included = live.iter().filter(|host| is_included(&host.zone));
     included.map(|host| host.caller_address.clone()).collect()
 }
--- a/crates/cuminramp-fleet/src/steering/tests.rs
+++ b/crates/cuminramp-fleet/src/steering/tests.rs
@@ -5,7 +5,7 @@
 use crate::heartbeat::KnownHost;
 
 const BOUNDS: SteeringBounds = SteeringBounds { min_near: 2, max_hosts: 64 };
-/// Hosts that a caller tries before it gives up.
+/// Number of hosts that a caller tries: a second one if the first doesn't answer.
 const TRIES: usize = 2;
 const CALLERS: usize = 2_000;
 
