--- a/crates/cuminramp-fleet/src/peers.rs
+++ b/crates/cuminramp-fleet/src/peers.rs
@@ -19,8 +19,8 @@
 /// Settings that determine when a host is lost.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerPolicy {
-    /// Time without a heartbeat after which a host's jobs are taken over. If it is less than twice the timeout
-    /// after which the host is silent, twice that timeout applies.
+    /// Time without a heartbeat after which a host's jobs are taken over. If it is less than twice the
+    /// timeout after which the host is silent, twice that timeout applies.
     pub lost: Duration,
 }
 
@@ -33,7 +33,7 @@
     /// [`PeerTable::reset_liveness`].
     pub last_heartbeat_at: Option<Instant>,
     /// Time at which this incarnation became known.
-    pub known_at: Instant,
+    pub discovered_at: Instant,
     /// Latest heartbeat.
     pub heartbeat: Option<HostHeartbeat>,
     /// Whether the host has reported that it no longer admits requests.
@@ -50,7 +50,7 @@
 /// All other hosts that the local host knows.
 #[derive(Debug)]
 pub struct PeerTable {
-    me: KnownHost,
+    local: KnownHost,
     policy: PeerPolicy,
     schedule: HeartbeatSchedule,
     peers: SortedMap<Name, PeerRecord>,
@@ -58,8 +58,8 @@
 
 impl PeerTable {
     /// Creates a table without other hosts.
-    pub fn new(me: KnownHost, policy: PeerPolicy) -> Self {
-        PeerTable { me, policy, schedule: HeartbeatSchedule::new(1, 1), peers: SortedMap::new() }
+    pub fn new(local: KnownHost, policy: PeerPolicy) -> Self {
+        PeerTable { local, policy, schedule: HeartbeatSchedule::new(1, 1), peers: SortedMap::new() }
     }
 
     /// Returns the local host.
@@ -70,7 +70,7 @@
     /// Records a host that a row or another host lists. Returns whether this incarnation is new,
     /// that is, higher than the recorded one.
     pub fn discover(&mut self, host: &KnownHost, now: Instant) -> bool {
-        if host.address == self.me.address {
+        if host.address == self.local.address {
             return false;
         }
         let held = self.peers.get(&host.address);
@@ -80,7 +80,7 @@
         let record = PeerRecord {
             host: host.clone(),
             last_heartbeat_at: None,
-            known_at: now,
+            discovered_at: now,
             heartbeat: None,
             has_left: false,
         };
@@ -91,7 +91,7 @@
 
     /// Records a heartbeat. Returns `false` if it is older than the latest one or from the local host.
     pub fn receive_heartbeat(&mut self, heartbeat: HostHeartbeat, now: Instant) -> bool {
-        if heartbeat.host.address == self.me.address {
+        if heartbeat.host.address == self.local.address {
             return false;
         }
         self.discover(&heartbeat.host, now);
@@ -141,13 +141,13 @@
     fn compute_schedule(&self) -> HeartbeatSchedule {
         let others = self.peers.values().filter(|record| !record.has_left);
         let (all, near) = others.fold((1, 1), |(all, near), record| {
-            (all + 1, near + usize::from(record.host.zone == self.me.zone))
+            (all + 1, near + usize::from(record.host.zone == self.local.zone))
         });
         HeartbeatSchedule::new(all, near)
     }
 
     fn timeout(&self, record: &PeerRecord) -> Duration {
-        self.schedule.timeout(record.host.zone == self.me.zone)
+        self.schedule.timeout(record.host.zone == self.local.zone)
     }
 
     /// Returns whether a heartbeat of the host arrived within the timeout. While it is alive, callers are
@@ -172,8 +172,8 @@
     /// over. If it is still running, its writes are rejected because the version of the job's row has
     /// changed.
     pub fn is_lost(&self, id: &HostId, now: Instant) -> bool {
-        if id.address == self.me.address {
-            return id.incarnation != self.me.incarnation;
+        if id.address == self.local.address {
+            return id.incarnation != self.local.incarnation;
         }
         let Some(record) = self.peers.get(&id.address) else {
             return true;
@@ -181,12 +181,12 @@
         if record.host.incarnation != id.incarnation || record.has_left {
             return record.host.incarnation > id.incarnation || record.has_left;
         }
-        let last_seen = record.last_heartbeat_at.unwrap_or(record.known_at);
+        let last_seen = record.last_heartbeat_at.unwrap_or(record.discovered_at);
         now.duration_since(last_seen) > self.policy.lost.max(self.timeout(record) * 2)
     }
 
     /// Returns whether at least half of all hosts are alive, the local host included. With fewer, the local
-    /// host is itself presumed to be cut off and takes over no jobs.
+    /// host is itself presumed to be cut off and must not take over the work of others.
     pub fn has_majority(&self, now: Instant) -> bool {
         let (alive, all) = self.count_alive(now);
         alive * 2 >= all
@@ -197,8 +197,8 @@
     pub fn live(&self, is_local_ready: bool, now: Instant) -> Vec<(HostId, &AvailabilityZone)> {
         let mut live = Vec::new();
         if is_local_ready {
-            let address = self.me.address.clone();
-            live.push((HostId { address, incarnation: self.me.incarnation }, &self.me.zone));
+            let address = self.local.address.clone();
+            live.push((HostId { address, incarnation: self.local.incarnation }, &self.local.zone));
         }
         for record in self.peers.values() {
             let is_ready = record.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.is_ready);
@@ -220,7 +220,7 @@
                 record.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.reaches_store)
             })
             .collect();
-        let is_near = |record: &&&PeerRecord| record.host.zone == self.me.zone;
+        let is_near = |record: &&&PeerRecord| record.host.zone == self.local.zone;
         let near: Vec<&&PeerRecord> = relays.iter().filter(is_near).collect();
         let relay = match near.is_empty() {
             true if relays.is_empty() => return None,
@@ -237,7 +237,7 @@
         let in_zone: Vec<&PeerRecord> =
             self.peers.values().filter(|record| *record.host.zone == *zone).collect();
         let present = in_zone.iter().filter(|record| !record.has_left).count();
-        let own = usize::from(*self.me.zone == *zone);
+        let own = usize::from(*self.local.zone == *zone);
         if present + own == 0 {
             let (alive, all) = self.count_alive(now);
             return alive * 2 > all;
@@ -249,7 +249,7 @@
     /// Returns whether a zone has hosts but none of them is alive: the zone has failed or is cut off from
     /// the local host.
     pub fn is_zone_silent(&self, zone: &str, now: Instant) -> bool {
-        if *self.me.zone == *zone {
+        if *self.local.zone == *zone {
             return false;
         }
         let present = |record: &&PeerRecord| *record.host.zone == *zone && !record.has_left;
@@ -259,7 +259,7 @@
 
     /// Returns the number of hosts that precede the local host in the rendezvous hashing order of a key.
     pub fn rank(&self, key: &str) -> usize {
-        let own = rendezvous_score(key, &self.me.address);
+        let own = rendezvous_score(key, &self.local.address);
         let others = self.peers.values().filter(|record| !record.has_left);
         others.filter(|record| rendezvous_score(key, &record.host.address) > own).count()
     }
@@ -279,7 +279,7 @@
     ) -> Vec<Name> {
         let mut live: Vec<&KnownHost> = Vec::new();
         if is_local_ready {
-            live.push(&self.me);
+            live.push(&self.local);
         }
         for record in self.peers.values() {
             let is_ready = record.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.is_ready);
@@ -291,7 +291,7 @@
         if is_alone || !self.has_majority(now) {
             let candidates = self.peers.values().filter(|record| !record.has_left);
             let recent = candidates.filter(|record| {
-                let last_seen = record.last_heartbeat_at.unwrap_or(record.known_at);
+                let last_seen = record.last_heartbeat_at.unwrap_or(record.discovered_at);
                 !self.is_alive(record, now)
                     && now.duration_since(last_seen) < SILENT_HOST_STEERING_TTL
             });
--- a/crates/cuminramp-fleet/src/row_cache.rs
+++ b/crates/cuminramp-fleet/src/row_cache.rs
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Applies a full snapshot of the table and returns the changes of the cache. Rows that the snapshot lacks
-    /// are removed after a delay, unless the snapshot is older than the cache.
+    /// Applies a full snapshot of the table and returns the changes of the cache. Rows that the snapshot
+    /// lacks are removed after a delay, unless the snapshot is older than the cache.
     pub fn apply_snapshot(
         &mut self,
         rows: Vec<KnownRow>,
