--- a/crates/cuminramp-fleet/src/peers.rs
+++ b/crates/cuminramp-fleet/src/peers.rs
@@ -64,7 +64,7 @@
 
     /// Returns the local host.
     pub fn me(&self) -> &KnownHost {
-        &self.me
+        &self.local
     }
 
     /// Records a host that a row or another host lists. Returns whether this incarnation is new,
