--- a/crates/cuminramp-gateway/src/jobs/accept.rs
+++ b/crates/cuminramp-gateway/src/jobs/accept.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use super::directory::{KnownJob, unix_ms};
-use super::names::{gate_key, input_key, input_object, job_key, jobs_prefix};
+use super::names::{acceptance_lock_key, input_key, input_object, job_key, jobs_prefix};
 use super::{JobCaller, writer};
 use crate::entry::{AnswerBody, complete_response};
 use crate::state::{GatewayState, lock};
@@ -172,7 +172,7 @@
         input,
         tokens,
         limit: route.waiting_tokens,
-        gate: gate_key(&caller.team),
+        gate: acceptance_lock_key(&caller.team),
         key: job_key(&caller.team, id),
         began,
         is_unsettled: false,
@@ -224,7 +224,7 @@
     loop {
         let view = view_of(state, draft, is_fresh);
         // Read with the room: if another acceptance moves the gate after it, the write fails there.
-        let gate_version = state.directory.gate(&draft.row.team);
+        let gate_version = state.directory.acceptance_lock_version(&draft.row.team);
         match view.next_step() {
             AcceptanceStep::Accepted => return Ok("accepted"),
             AcceptanceStep::Repeated => return Ok("repeated"),
@@ -290,7 +290,7 @@
 async fn refresh(state: &Arc<GatewayState>, team: &str) -> Result<(), StoreError> {
     let rows = state.store.scan(&jobs_prefix(team), "", MOST_ROWS).await?;
     for row in rows {
-        super::directory::notice_row(state, &row);
+        super::directory::apply_row(state, &row);
     }
     Ok(())
 }
@@ -318,7 +318,7 @@
     let reason = match outcome {
         Ok(CommitOutcome::Committed(version)) => {
             state.directory.put(draft.row.clone(), version);
-            state.directory.put_gate(&draft.gate, version);
+            state.directory.put_acceptance_lock(&draft.gate, version);
             return WriteOutcome::Settled;
         }
         Ok(CommitOutcome::Conflict(_)) => None,
--- a/crates/cuminramp-gateway/src/jobs/checkpoint.rs
+++ b/crates/cuminramp-gateway/src/jobs/checkpoint.rs
@@ -17,9 +17,9 @@
 use crate::state::{GatewayState, lock};
 
 /// Texts over this length go into an object of their own: rows hold 64 KiB in base64.
-pub(super) const LONGEST_TEXT: usize = 40 << 10;
+pub(super) const MAX_ROW_TEXT_BYTES: usize = 40 << 10;
 /// Bytes of texts in one write; the store takes a megabyte.
-pub(super) const MOST_WRITE_BYTES: usize = 500 << 10;
+pub(super) const MAX_WRITE_TEXT_BYTES: usize = 500 << 10;
 /// Rows of progress in one write; the store takes a hundred entries.
 const MOST_ROWS: usize = 90;
 /// Between two looks for progress to save.
@@ -28,7 +28,7 @@
 const LEAST_UNSAVED: Duration = Duration::from_millis(600);
 
 /// Adds rows of progress to a write, as many as it takes; returns the indices of their items.
-pub(super) fn put_progress<'a>(
+pub(super) fn add_progress_rows<'a>(
     mut transaction: Transaction,
     team: &str,
     job: &str,
@@ -37,8 +37,8 @@
     let (mut written, mut bytes) = (Vec::new(), 0);
     for (index, item, progress) in items {
         let length = progress.text.len();
-        let is_over = bytes + length > MOST_WRITE_BYTES || written.len() == MOST_ROWS;
-        if length > LONGEST_TEXT || is_over {
+        let is_over = bytes + length > MAX_WRITE_TEXT_BYTES || written.len() == MOST_ROWS;
+        if length > MAX_ROW_TEXT_BYTES || is_over {
             continue;
         }
         let row = ProgressRow {
@@ -77,7 +77,7 @@
 async fn save_job(state: &Arc<GatewayState>, unsaved: UnsavedJob) -> bool {
     let items = unsaved.items.iter().map(|(index, item, progress)| (*index, item, progress));
     let (transaction, written) =
-        put_progress(Transaction::default(), &unsaved.team, &unsaved.job, items);
+        add_progress_rows(Transaction::default(), &unsaved.team, &unsaved.job, items);
     if written.is_empty() {
         return true;
     }
--- a/crates/cuminramp-gateway/src/jobs/directory.rs
+++ b/crates/cuminramp-gateway/src/jobs/directory.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::names::{JOBS, gate_key, is_gate};
+use super::names::{JOBS, acceptance_lock_key, is_acceptance_lock};
 use super::run::stop_job;
 use crate::state::{GatewayState, lock};
 use crate::sync::TableFollower;
@@ -27,7 +27,7 @@
 
 /// Ends of jobs that one heartbeat tells. A heartbeat that grew over what receivers read, 60 KiB, would make
 /// its host seem silent; this many are some 2 KB.
-const MOST_ENDS: usize = 64;
+const MAX_REPORTED_ENDS: usize = 64;
 
 /// Unix time in milliseconds.
 pub(super) fn unix_ms() -> u64 {
@@ -89,7 +89,7 @@
     }
 
     /// A job was ended through this host: others learn of it.
-    pub(crate) fn note_end(&self, job: &str, version: u64, now: Instant) {
+    pub(crate) fn record_end(&self, job: &str, version: u64, now: Instant) {
         let mut rows = lock(&self.rows);
         if rows.ended.iter().any(|(ended, _)| *ended.job == *job) {
             return;
@@ -97,21 +97,21 @@
         rows.ended.push((EndedJob { job: job.into(), version }, now));
     }
 
-    /// Jobs that were ended through this host within the last `within`, the newest [`MOST_ENDS`];
+    /// Jobs that were ended through this host within the last `within`, the newest [`MAX_REPORTED_ENDS`];
     /// older ones are dropped.
     pub(crate) fn ended_lately(&self, within: Duration, now: Instant) -> Vec<EndedJob> {
         let mut rows = lock(&self.rows);
         rows.ended.retain(|(_, at)| now.duration_since(*at) < within);
-        rows.ended.iter().rev().take(MOST_ENDS).map(|(ended, _)| ended.clone()).collect()
+        rows.ended.iter().rev().take(MAX_REPORTED_ENDS).map(|(ended, _)| ended.clone()).collect()
     }
 
     /// The version of a team's gate; 0 where it has none yet.
-    pub(crate) fn gate(&self, team: &str) -> u64 {
-        lock(&self.rows).gates.get(&gate_key(team)).copied().unwrap_or(0)
+    pub(crate) fn acceptance_lock_version(&self, team: &str) -> u64 {
+        lock(&self.rows).gates.get(&acceptance_lock_key(team)).copied().unwrap_or(0)
     }
 
     /// Takes a gate's version.
-    pub(crate) fn put_gate(&self, key: &str, version: u64) {
+    pub(crate) fn put_acceptance_lock(&self, key: &str, version: u64) {
         let mut rows = lock(&self.rows);
         let held = rows.gates.get_or_insert_with(key.to_owned(), || 0);
         *held = (*held).max(version);
@@ -138,9 +138,9 @@
     }
 
     /// Takes a row of the table, whichever it is; returns the job it is of.
-    pub(crate) fn take_row(&self, row: &Row) -> Option<JobRow> {
-        if is_gate(&row.key) {
-            self.put_gate(&row.key, row.version);
+    pub(crate) fn record_row(&self, row: &Row) -> Option<JobRow> {
+        if is_acceptance_lock(&row.key) {
+            self.put_acceptance_lock(&row.key, row.version);
             return None;
         }
         match decode_row::<JobRow>(&row.value) {
@@ -172,13 +172,13 @@
 
     async fn reset(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot) {
         for row in snapshot.rows {
-            notice_row(state, &row);
+            apply_row(state, &row);
         }
     }
 
     async fn change(&self, state: &Arc<GatewayState>, changes: Vec<RowChange>, _version: u64) {
         for change in changes.into_iter().filter(|change| !change.is_deleted) {
-            notice_row(state, &change.row);
+            apply_row(state, &change.row);
         }
     }
 }
@@ -204,8 +204,8 @@
 }
 
 /// Takes a row, and lets a job go that ended or that another host holds.
-pub(super) fn notice_row(state: &Arc<GatewayState>, row: &Row) {
-    let Some(job) = state.directory.take_row(row) else { return };
+pub(super) fn apply_row(state: &Arc<GatewayState>, row: &Row) {
+    let Some(job) = state.directory.record_row(row) else { return };
     let is_mine =
         *job.holder_address == *state.me.address && job.holder_incarnation == state.me.incarnation;
     if is_mine && job.phase() == JobPhase::Open {
--- a/crates/cuminramp-gateway/src/jobs/directory/tests.rs
+++ b/crates/cuminramp-gateway/src/jobs/directory/tests.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use super::{JobDirectory, MOST_ENDS};
+use super::{JobDirectory, MAX_REPORTED_ENDS};
 
 const LATELY: Duration = Duration::from_secs(3);
 
@@ -13,15 +13,15 @@
     let directory = JobDirectory::default();
     let now = Instant::now();
     for _ in 0..1_000 {
-        directory.note_end("j", 1, now);
+        directory.record_end("j", 1, now);
     }
     let repeated = directory.ended_lately(LATELY, now).len();
 
     for number in 0..1_000 {
-        directory.note_end(&format!("j{number}"), 1, now);
+        directory.record_end(&format!("j{number}"), 1, now);
     }
     let many = directory.ended_lately(LATELY, now);
 
-    assert_eq!((repeated, many.len()), (1, MOST_ENDS));
+    assert_eq!((repeated, many.len()), (1, MAX_REPORTED_ENDS));
     assert_eq!(&*many[0].job, "j999");
 }
--- a/crates/cuminramp-gateway/src/jobs/end.rs
+++ b/crates/cuminramp-gateway/src/jobs/end.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use super::JobCaller;
-use super::directory::{KnownJob, notice_row};
+use super::directory::{KnownJob, apply_row};
 use super::names::job_key;
 use super::read::find_job;
 use super::run::stop_job;
@@ -50,7 +50,7 @@
     }
     if known.row.phase() == JobPhase::Ended {
         // The answer to the write that ended it was lost, or it was ended before.
-        state.directory.note_end(job, known.version, Instant::now());
+        state.directory.record_end(job, known.version, Instant::now());
     }
     log::info!(
         job = job, team = &*caller.team, took_ms = began.elapsed().as_millis() as u64;
@@ -78,7 +78,7 @@
     match state.store.commit(transaction).await? {
         CommitOutcome::Committed(version) => {
             state.directory.put(row, version);
-            state.directory.note_end(&known.row.id, version, Instant::now());
+            state.directory.record_end(&known.row.id, version, Instant::now());
             stop_job(state, &known.row.id);
             state.request_heartbeat();
             Ok(true)
@@ -94,6 +94,6 @@
     let row = row.ok_or_else(|| StoreError::Unknown("the job's row is gone".into()))?;
     let read =
         decode_row::<JobRow>(&row.value).map_err(|error| StoreError::Unknown(error.to_string()))?;
-    notice_row(state, &row);
+    apply_row(state, &row);
     Ok(KnownJob { row: read, version: row.version })
 }
--- a/crates/cuminramp-gateway/src/jobs/leave.rs
+++ b/crates/cuminramp-gateway/src/jobs/leave.rs
@@ -26,7 +26,7 @@
     let mut waits = Vec::with_capacity(jobs.len());
     for job in jobs {
         let (done, wait) = oneshot::channel();
-        state.writers.ask(&job, WriterCommand::HandOver(done));
+        state.writers.send(&job, WriterCommand::HandOver(done));
         waits.push(wait);
     }
     let all = futures_util::future::join_all(waits);
--- a/crates/cuminramp-gateway/src/jobs/names.rs
+++ b/crates/cuminramp-gateway/src/jobs/names.rs
@@ -31,7 +31,7 @@
 }
 
 /// The row through which a team's acceptances go one after another.
-pub(super) fn gate_key(team: &str) -> String {
+pub(super) fn acceptance_lock_key(team: &str) -> String {
     format!("{JOBS}/p{}/gate.{}", part(team), plain(team))
 }
 
@@ -41,7 +41,7 @@
 }
 
 /// Whether a key is a gate's.
-pub(super) fn is_gate(key: &str) -> bool {
+pub(super) fn is_acceptance_lock(key: &str) -> bool {
     key.rsplit('/').next().is_some_and(|name| name.starts_with("gate."))
 }
 
--- a/crates/cuminramp-gateway/src/jobs/run.rs
+++ b/crates/cuminramp-gateway/src/jobs/run.rs
@@ -116,7 +116,7 @@
     let given_up = lock(&state.jobs).drop_expired(Instant::now());
     for (job, finished) in given_up {
         log::info!(job = &*job, index = finished.index, reason = "too old"; "item-given-up");
-        state.writers.ask(&job, WriterCommand::List(finished));
+        state.writers.send(&job, WriterCommand::List(finished));
     }
 }
 
@@ -246,7 +246,7 @@
         }
     };
     if let Some(finished) = finished {
-        state.writers.ask(&start.job, WriterCommand::List(finished));
+        state.writers.send(&start.job, WriterCommand::List(finished));
     }
     state.items_wanted.notify_one();
     state.request_heartbeat();
--- a/crates/cuminramp-gateway/src/jobs/writer.rs
+++ b/crates/cuminramp-gateway/src/jobs/writer.rs
@@ -11,7 +11,7 @@
 use cuminramp_wire::{decode_row, encode_row};
 use tokio::sync::{mpsc, oneshot};
 
-use super::checkpoint::{LONGEST_TEXT, MOST_WRITE_BYTES, put_progress};
+use super::checkpoint::{MAX_ROW_TEXT_BYTES, MAX_WRITE_TEXT_BYTES, add_progress_rows};
 use super::directory::KnownJob;
 use super::names::{job_key, progress_key, result_key, result_object};
 use super::run::stop_job;
@@ -39,7 +39,7 @@
 
 impl JobWriters {
     /// Asks the keeper of a job; a job that is no longer held has none, and then nothing is owed.
-    pub(super) fn ask(&self, job: &str, command: WriterCommand) {
+    pub(super) fn send(&self, job: &str, command: WriterCommand) {
         if let Some(commands) = lock(&self.commands).get(job) {
             let _ = commands.send(command);
         }
@@ -122,10 +122,10 @@
     ) -> Vec<FinishedItem> {
         let mut bytes = text_len(&first);
         let mut batch = vec![first];
-        while batch.len() < MOST_RESULTS && bytes < MOST_WRITE_BYTES {
+        while batch.len() < MOST_RESULTS && bytes < MAX_WRITE_TEXT_BYTES {
             match self.commands.try_recv() {
                 Ok(WriterCommand::List(next)) => {
-                    bytes += text_len(&next).min(LONGEST_TEXT);
+                    bytes += text_len(&next).min(MAX_ROW_TEXT_BYTES);
                     batch.push(next);
                 }
                 Ok(command) => {
@@ -230,7 +230,7 @@
                 ..ResultRow::default()
             };
             if let ItemOutcome::Complete(text) = &finished.outcome {
-                if text.len() > LONGEST_TEXT {
+                if text.len() > MAX_ROW_TEXT_BYTES {
                     row.object = result_object(team, id, position, next.fence);
                     let bytes = Bytes::copy_from_slice(text.as_bytes());
                     self.state.store.put(&row.object, bytes).await?;
@@ -291,7 +291,7 @@
         let transaction = Transaction::default().put_at(key, self.known.version, encode_row(&next));
         let progress =
             held.progress().map(|(index, progress)| (index, &self.items[index], progress));
-        let (transaction, written) = put_progress(transaction, &team, &id, progress);
+        let (transaction, written) = add_progress_rows(transaction, &team, &id, progress);
         let outcome = self.state.store.commit(transaction).await;
         let outcome = format!("{outcome:?}");
         log::info!(
