--- a/crates/cuminramp-gateway/src/jobs/directory.rs
+++ b/crates/cuminramp-gateway/src/jobs/directory.rs
@@ -1,4 +1,4 @@
-//! All jobs as the table lists them.
+//! Directory of all jobs of the fleet, as last read from the jobs table.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -17,24 +17,24 @@
 use crate::state::{GatewayState, lock};
 use crate::sync::TableFollower;
 
-/// Pause between two watches of jobs: progress of many jobs then comes in one answer. Callers read
-/// about twice a second, and an ended job has to stop within seconds.
-const WATCH_PAUSE: Duration = Duration::from_millis(250);
+/// Minimum delay between two watches of the jobs table, so that one response carries changes of many jobs.
+/// Callers read results about twice a second, and an ended job has to stop within seconds.
+const MIN_WATCH_DELAY: Duration = Duration::from_millis(250);
 
-/// The longest such pause. Every host watches every job, so in a large fleet most of the calls of the
-/// store would be these.
-const LONGEST_WATCH_PAUSE: Duration = Duration::from_millis(1_000);
+/// Maximum delay between two watches in a large fleet. Every host watches every job, so with the minimum
+/// delay most calls to the store would be watches.
+const MAX_WATCH_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Ends of jobs that one heartbeat tells. A heartbeat that grew over what receivers read, 60 KiB, would make
-/// its host seem silent; this many are some 2 KB.
+/// Maximum number of ended jobs that one heartbeat reports, some 2 KB. Receivers don't read heartbeats
+/// over 60 KiB, so a larger one would make its host appear silent.
 const MAX_REPORTED_ENDS: usize = 64;
 
-/// Unix time in milliseconds.
+/// Returns the current Unix time in milliseconds.
 pub(super) fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |passed| passed.as_millis() as u64)
 }
 
-/// A job with the version of its row.
+/// Last known row of a job and the row's version.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownJob {
     pub(crate) row: JobRow,
@@ -42,7 +42,7 @@
 }
 
 impl KnownJob {
-    /// Whether work on it goes on.
+    /// Returns whether the job is neither done nor ended.
     pub(crate) fn is_open(&self) -> bool {
         self.row.phase() == JobPhase::Open
     }
@@ -51,12 +51,12 @@
 #[derive(Debug, Default)]
 struct DirectoryRows {
     jobs: SortedMap<Name, KnownJob>,
-    gates: SortedMap<String, u64>,
-    /// Jobs that were ended through this host, and when.
+    acceptance_locks: SortedMap<String, u64>,
+    /// Jobs that this host ended at a caller's request, and when.
     ended: Vec<(EndedJob, Instant)>,
 }
 
-/// Jobs and gates of all teams, as of the last watch.
+/// Job rows and acceptance lock versions of all teams, as last read or written by this host.
 #[derive(Debug)]
 pub(crate) struct JobDirectory {
     rows: Mutex<DirectoryRows>,
@@ -70,16 +70,16 @@
 }
 
 impl JobDirectory {
-    /// A job by its identity.
+    /// Returns a job by its ID.
     pub(crate) fn get(&self, id: &str) -> Option<KnownJob> {
         lock(&self.rows).jobs.get(id).cloned()
     }
 
-    /// Takes a job's row if it is newer than what is known.
+    /// Records a job's row if it is newer than the known one; returns whether it was.
     pub(crate) fn put(&self, row: JobRow, version: u64) -> bool {
         let mut rows = lock(&self.rows);
         let id = Name::from(row.id.as_str());
-        if rows.jobs.get(&id).is_some_and(|held| held.version >= version) {
+        if rows.jobs.get(&id).is_some_and(|known| known.version >= version) {
             return false;
         }
         rows.jobs.insert(id, KnownJob { row, version });
@@ -88,7 +88,7 @@
         true
     }
 
-    /// A job was ended through this host: others learn of it.
+    /// Records that this host ended a job, so that its heartbeats report the end to other hosts.
     pub(crate) fn record_end(&self, job: &str, version: u64, now: Instant) {
         let mut rows = lock(&self.rows);
         if rows.ended.iter().any(|(ended, _)| *ended.job == *job) {
@@ -97,27 +97,27 @@
         rows.ended.push((EndedJob { job: job.into(), version }, now));
     }
 
-    /// Jobs that were ended through this host within the last `within`, the newest [`MAX_REPORTED_ENDS`];
-    /// older ones are dropped.
+    /// Returns the newest jobs that this host ended within the last `within`, at most [`MAX_REPORTED_ENDS`].
+    /// Removes ends that are older than `within`.
     pub(crate) fn ended_lately(&self, within: Duration, now: Instant) -> Vec<EndedJob> {
         let mut rows = lock(&self.rows);
         rows.ended.retain(|(_, at)| now.duration_since(*at) < within);
         rows.ended.iter().rev().take(MAX_REPORTED_ENDS).map(|(ended, _)| ended.clone()).collect()
     }
 
-    /// The version of a team's gate; 0 where it has none yet.
+    /// Returns the version of a team's acceptance lock row; 0 if the row isn't known to exist.
     pub(crate) fn acceptance_lock_version(&self, team: &str) -> u64 {
-        lock(&self.rows).gates.get(&acceptance_lock_key(team)).copied().unwrap_or(0)
+        lock(&self.rows).acceptance_locks.get(&acceptance_lock_key(team)).copied().unwrap_or(0)
     }
 
-    /// Takes a gate's version.
+    /// Records the version of an acceptance lock row unless a newer one is known.
     pub(crate) fn put_acceptance_lock(&self, key: &str, version: u64) {
         let mut rows = lock(&self.rows);
-        let held = rows.gates.get_or_insert_with(key.to_owned(), || 0);
-        *held = (*held).max(version);
+        let known = rows.acceptance_locks.get_or_insert_with(key.to_owned(), || 0);
+        *known = (*known).max(version);
     }
 
-    /// Tokens of a team's unfinished items on a route.
+    /// Returns the tokens of unfinished items in a team's open jobs on a route.
     pub(crate) fn waiting_tokens(&self, team: &str, route: &str) -> u64 {
         let rows = lock(&self.rows);
         let open = rows
@@ -127,17 +127,18 @@
         open.map(|job| job.row.waiting_tokens).sum()
     }
 
-    /// All open jobs.
+    /// Returns all open jobs.
     pub(crate) fn open_jobs(&self) -> Vec<KnownJob> {
         lock(&self.rows).jobs.values().filter(|job| job.is_open()).cloned().collect()
     }
 
-    /// A receiver that wakes with each change.
+    /// Returns a receiver that is notified each time a job's row changes.
     pub(crate) fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Takes a row of the table, whichever it is; returns the job it is of.
+    /// Records a row of the jobs table, either a job's or an acceptance lock. Returns the job if its row is
+    /// newer than the known one.
     pub(crate) fn record_row(&self, row: &Row) -> Option<JobRow> {
         if is_acceptance_lock(&row.key) {
             self.put_acceptance_lock(&row.key, row.version);
@@ -157,7 +158,7 @@
     }
 }
 
-/// Follows the table of jobs.
+/// Applies changes of the jobs table to the directory and to the jobs that this host holds.
 pub(crate) struct JobsFollower;
 
 #[async_trait]
@@ -167,7 +168,7 @@
     }
 
     fn pause(&self, schedule: &HeartbeatSchedule) -> Duration {
-        schedule.scale(WATCH_PAUSE, LONGEST_WATCH_PAUSE)
+        schedule.scale(MIN_WATCH_DELAY, MAX_WATCH_DELAY)
     }
 
     async fn reset(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot) {
@@ -183,9 +184,11 @@
     }
 }
 
-/// Takes word of another host that a job was ended through it. The row says the same, but a slow
-/// store brings it late: with answers after half a second and reads refused for their number, items
-/// of a job ran 3.5 s after its end.
+/// Applies a job's end that another host reported, and stops the job's items here.
+///
+/// The job's row shows the end as well, but arrives late while the store is slow: when the store responded
+/// after half a second and rejected reads for exceeding its rate limit, items of a job ran 3.5 s after its
+/// end.
 pub(crate) fn notice_end(state: &Arc<GatewayState>, ended: &EndedJob, source: &HostId) {
     let Some(known) = state.directory.get(&ended.job) else { return };
     let mut row = known.row;
@@ -203,16 +206,17 @@
     }
 }
 
-/// Takes a row, and lets a job go that ended or that another host holds.
+/// Records a row of the jobs table. Releases the row's job if this host holds it and it has ended or another
+/// host has taken it over.
 pub(super) fn apply_row(state: &Arc<GatewayState>, row: &Row) {
     let Some(job) = state.directory.record_row(row) else { return };
-    let is_mine =
+    let is_holder =
         *job.holder_address == *state.me.address && job.holder_incarnation == state.me.incarnation;
-    if is_mine && job.phase() == JobPhase::Open {
+    if is_holder && job.phase() == JobPhase::Open {
         return;
     }
     let is_held = lock(&state.jobs).get(&job.id).is_some();
-    if is_held && (job.phase() == JobPhase::Ended || !is_mine) {
+    if is_held && (job.phase() == JobPhase::Ended || !is_holder) {
         log::info!(
             job = job.id.as_str(), phase = job.phase().as_str_name(),
             holder = job.holder_address.as_str(), fence = job.fence, row_version = row.version;
