--- a/crates/cuminramp-gateway/src/jobs/accept.rs
+++ b/crates/cuminramp-gateway/src/jobs/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts jobs: durably, once, and within what a team may have waiting.
+//! Accepts jobs durably, at most once each, and within the limit of waiting tokens of a team on a route.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,48 +18,53 @@
 use crate::entry::{AnswerBody, complete_response};
 use crate::state::{GatewayState, lock};
 
-/// How long a host tries to make a job durable. Callers wait four seconds and then ask another
-/// host; a little less lets the answer arrive.
-const ACCEPT_LIMIT: Duration = Duration::from_millis(3_000);
-/// Pause after a call of the store that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(80);
-/// When a refused job should come back.
-const RETURN_PAUSE: Duration = Duration::from_millis(700);
-/// When a job should come back that another host can accept at once.
-const ELSEWHERE_PAUSE: Duration = Duration::from_millis(50);
-/// Most rows of a partition that one scan reads.
-const MOST_ROWS: usize = 5_000;
+/// Timeout after which a host stops trying to make a job durable. Callers wait 4 s and then retry at
+/// another host; a response within 3 s still reaches them.
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Delay after a failed call to the store.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(80);
+/// Delay after which callers should retry a job that was refused because the team's limit of waiting tokens
+/// was reached or the store was unavailable.
+const RETRY_AFTER: Duration = Duration::from_millis(700);
+/// Delay after which callers should retry a job that another host can accept at once.
+const OTHER_HOST_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Maximum number of rows that one scan of a partition reads.
+const MAX_SCAN_ROWS: usize = 5_000;
 
-/// Bytes of a job's input in one row: rows hold 64 KiB in base64.
-const PIECE_BYTES: usize = 40 << 10;
-/// Rows that a job's input may take; a write holds a megabyte. Larger inputs become objects.
-const MOST_PIECES: usize = 15;
+/// Maximum number of bytes of a job's input in one row. Rows hold 64 KiB in base64.
+const MAX_INPUT_ROW_BYTES: usize = 40 << 10;
+/// Maximum number of rows for a job's input, as one write holds 1 MB. Larger inputs are stored as objects.
+const MAX_INPUT_ROWS: usize = 15;
 
-/// What becomes durable.
+/// A job that is being accepted, and the state of its writes.
 struct JobDraft {
     row: JobRow,
-    /// Its input.
+    /// The encoded [`JobInput`].
     input: Bytes,
+    /// Tokens of all items.
     tokens: u64,
-    limit: u64,
-    gate: String,
-    key: String,
-    began: Instant,
-    /// A write of it may still take effect.
+    /// Maximum number of tokens that the team may have waiting on the route; 0 if unlimited.
+    max_waiting_tokens: u64,
+    /// Key of the team's acceptance lock row.
+    lock_key: String,
+    /// Key of the job's row.
+    job_key: String,
+    started: Instant,
+    /// Whether the outcome of a write is unknown, so that it may still take effect.
     is_unsettled: bool,
 }
 
-/// How a write of the job's row went.
+/// Outcome of a write of the job's row.
 enum WriteOutcome {
-    /// The table was read or written after it: what is known tells whether it took effect.
-    Settled,
-    /// It surely had no effect.
-    NotDone(String),
-    /// It may have taken effect, or may yet.
-    Unsettled(String),
+    /// The directory shows whether the write was applied: it was updated after the write ended.
+    Visible,
+    /// The write was not applied and won't be.
+    NotApplied(String),
+    /// The write may have been applied, or may be later.
+    Unknown(String),
 }
 
-/// Accepts a job handed in on `route`.
+/// Accepts a job that a caller submitted on `route`.
 pub(crate) async fn accept_job(
     state: &Arc<GatewayState>,
     route: &RouteRule,
@@ -67,15 +72,15 @@
     body: Bytes,
     version: u64,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    let began = Instant::now();
-    let outcome = accept(state, route, &caller, &body, began).await;
+    let started = Instant::now();
+    let outcome = accept(state, route, &caller, &body, started).await;
     let items = caller.head.request_id.as_deref().and_then(|id| state.directory.get(id));
     let items = items.map_or(0, |known| known.row.total);
     let job = caller.head.request_id.as_deref().unwrap_or("-");
-    let took_ms = began.elapsed().as_millis() as u64;
+    let took_ms = started.elapsed().as_millis() as u64;
     match &outcome {
         Ok(kind) => {
-            state.metrics.note_acceptance(began.elapsed());
+            state.metrics.note_acceptance(started.elapsed());
             log::info!(
                 job = job, team = &*caller.team, route = &*route.name, declarations = version,
                 items = items, outcome = *kind, took_ms = took_ms;
@@ -98,34 +103,34 @@
     route: &RouteRule,
     caller: &JobCaller,
     body: &Bytes,
-    began: Instant,
+    started: Instant,
 ) -> Result<&'static str, Refusal> {
     let Some(id) = caller.head.request_id.clone() else {
-        return Err(Refusal::not_run(ResultCode::FieldInvalid, "the job has no identity"));
+        return Err(Refusal::not_run(ResultCode::FieldInvalid, "the job has no request ID"));
     };
     if is_known(state, &id, &caller.team) {
         return Ok("known");
     }
     if state.is_draining() {
-        let refusal = Refusal::not_run(ResultCode::HostDraining, "the host is leaving");
-        return Err(refusal.with_retry_after(ELSEWHERE_PAUSE));
+        let refusal = Refusal::not_run(ResultCode::HostDraining, "the host is draining");
+        return Err(refusal.with_retry_after(OTHER_HOST_RETRY_AFTER));
     }
     if state.is_cut_off().await {
         let reason = "this host is cut off from most hosts and from the store";
         let refusal = Refusal::not_run(ResultCode::StoreUnavailable, reason);
-        return Err(refusal.with_retry_after(ELSEWHERE_PAUSE));
+        return Err(refusal.with_retry_after(OTHER_HOST_RETRY_AFTER));
     }
     let items = state
         .calls
         .read_job(body)
         .map_err(|error| Refusal::not_run(ResultCode::BodyMalformed, error.to_string()))?;
-    let mut draft = make_draft(state, route, caller, &id, &items, body, began);
+    let mut draft = build_draft(state, route, caller, &id, &items, body, started);
     if draft.row.input_rows == 0 {
-        store_input(state, &draft).await?;
+        store_input_object(state, &draft).await?;
     }
     let outcome = make_durable(state, &mut draft).await?;
     if outcome == "accepted" {
-        hold(state, &draft, items);
+        start_job(state, &draft, items);
     }
     Ok(outcome)
 }
@@ -134,18 +139,18 @@
     state.directory.get(id).is_some_and(|known| known.row.team == team)
 }
 
-fn make_draft(
+fn build_draft(
     state: &GatewayState,
     route: &RouteRule,
     caller: &JobCaller,
     id: &Name,
     items: &[ItemSpec],
     body: &Bytes,
-    began: Instant,
+    started: Instant,
 ) -> JobDraft {
     let tokens = items.iter().map(|item| item.tokens).sum();
-    let input = pack_input(items);
-    let pieces = input.len().div_ceil(PIECE_BYTES);
+    let input = encode_input(items);
+    let input_rows = input.len().div_ceil(MAX_INPUT_ROW_BYTES);
     let now = unix_ms();
     let row = JobRow {
         id: id.to_string(),
@@ -165,26 +170,27 @@
         waiting_tokens: tokens,
         commit: 0,
         digest: hash_parts(&[&String::from_utf8_lossy(body)]),
-        input_rows: if pieces <= MOST_PIECES { pieces as u32 } else { 0 },
+        input_rows: if input_rows <= MAX_INPUT_ROWS { input_rows as u32 } else { 0 },
     };
     JobDraft {
         row,
         input,
         tokens,
-        limit: route.waiting_tokens,
-        gate: acceptance_lock_key(&caller.team),
-        key: job_key(&caller.team, id),
-        began,
+        max_waiting_tokens: route.waiting_tokens,
+        lock_key: acceptance_lock_key(&caller.team),
+        job_key: job_key(&caller.team, id),
+        started,
         is_unsettled: false,
     }
 }
 
 fn unavailable(reason: impl Into<String>) -> Refusal {
-    Refusal::not_run(ResultCode::StoreUnavailable, reason).with_retry_after(RETURN_PAUSE)
+    Refusal::not_run(ResultCode::StoreUnavailable, reason).with_retry_after(RETRY_AFTER)
 }
 
-fn pack_input(items: &[ItemSpec]) -> Bytes {
-    let packed = items.iter().map(|item| JobItem {
+/// Encodes the items as [`JobInput`].
+fn encode_input(items: &[ItemSpec]) -> Bytes {
+    let items = items.iter().map(|item| JobItem {
         id: item.id.to_string(),
         path: item.path.to_string(),
         headers: item
@@ -195,63 +201,67 @@
         body: item.body.to_vec(),
         tokens: item.tokens,
     });
-    Bytes::from(encode_row(&JobInput { items: packed.collect() }))
+    Bytes::from(encode_row(&JobInput { items: items.collect() }))
 }
 
-/// Stores an input that is too large for rows.
-async fn store_input(state: &GatewayState, draft: &JobDraft) -> Result<(), Refusal> {
+/// Stores an input that is too large for rows as an object.
+async fn store_input_object(state: &GatewayState, draft: &JobDraft) -> Result<(), Refusal> {
     let name = input_object(&draft.row.team, &draft.row.id);
     loop {
         match state.store.put(&name, draft.input.clone()).await {
             Ok(()) => return Ok(()),
-            Err(error) if draft.began.elapsed() >= ACCEPT_LIMIT => {
+            Err(error) if draft.started.elapsed() >= ACCEPT_TIMEOUT => {
                 return Err(unavailable(error.to_string()));
             }
             Err(error) => {
-                note_failure(state, draft, &error.to_string());
-                tokio::time::sleep(FAILURE_PAUSE).await;
+                record_failure(state, draft, &error.to_string());
+                tokio::time::sleep(STORE_RETRY_DELAY).await;
             }
         }
     }
 }
 
+/// Reads and writes the jobs table until the job is accepted or refused. Returns the outcome that the log
+/// line shows.
 async fn make_durable(
     state: &Arc<GatewayState>,
     draft: &mut JobDraft,
 ) -> Result<&'static str, Refusal> {
     let mut is_fresh = false;
-    let mut reason = String::from("too many changes at once");
+    let mut reason = String::from("too many concurrent changes");
     loop {
-        let view = view_of(state, draft, is_fresh);
-        // Read with the room: if another acceptance moves the gate after it, the write fails there.
-        let gate_version = state.directory.acceptance_lock_version(&draft.row.team);
+        let view = acceptance_view(state, draft, is_fresh);
+        // Read together with the waiting tokens: if another acceptance writes the lock row after that, the
+        // write of this job conflicts, so that two jobs never use the same free tokens.
+        let lock_version = state.directory.acceptance_lock_version(&draft.row.team);
         match view.next_step() {
             AcceptanceStep::Accepted => return Ok("accepted"),
             AcceptanceStep::Repeated => return Ok("repeated"),
-            AcceptanceStep::Refresh => match refresh(state, &draft.row.team).await {
+            AcceptanceStep::Refresh => match refresh_directory(state, &draft.row.team).await {
                 Ok(()) => is_fresh = true,
                 Err(error) => {
-                    return Err(refuse(view.after_failed_read(), &view, &error.to_string()));
+                    return Err(refusal_for(view.after_failed_read(), &view, &error.to_string()));
                 }
             },
-            AcceptanceStep::Write => match write_row(state, draft, gate_version).await {
-                WriteOutcome::Settled => is_fresh = true,
-                WriteOutcome::NotDone(why) => {
-                    reason = why;
+            AcceptanceStep::Write => match write_row(state, draft, lock_version).await {
+                WriteOutcome::Visible => is_fresh = true,
+                WriteOutcome::NotApplied(error) => {
+                    reason = error;
                     is_fresh = false;
                 }
-                WriteOutcome::Unsettled(why) => {
+                WriteOutcome::Unknown(error) => {
                     draft.is_unsettled = true;
-                    reason = why;
+                    reason = error;
                     is_fresh = false;
                 }
             },
-            step => return Err(refuse(step, &view, &reason)),
+            step => return Err(refusal_for(step, &view, &reason)),
         }
     }
 }
 
-fn view_of(state: &GatewayState, draft: &JobDraft, is_fresh: bool) -> AcceptanceView {
+/// Returns what the directory shows of the job and of its team.
+fn acceptance_view(state: &GatewayState, draft: &JobDraft, is_fresh: bool) -> AcceptanceView {
     let found = match state.directory.get(&draft.row.id) {
         None => FoundJob::Missing,
         Some(known) if is_written_by(&known, draft) => FoundJob::Own,
@@ -261,24 +271,27 @@
         found,
         waiting: state.directory.waiting_tokens(&draft.row.team, &draft.row.route),
         tokens: draft.tokens,
-        limit: draft.limit,
+        limit: draft.max_waiting_tokens,
         is_fresh,
         is_unsettled: draft.is_unsettled,
-        is_time_up: draft.began.elapsed() >= ACCEPT_LIMIT,
+        is_time_up: draft.started.elapsed() >= ACCEPT_TIMEOUT,
     }
 }
 
+/// Returns whether a known row was written by this acceptance rather than by another one of the same job.
 fn is_written_by(known: &KnownJob, draft: &JobDraft) -> bool {
     known.row.holder_address == draft.row.holder_address
         && known.row.holder_incarnation == draft.row.holder_incarnation
         && known.row.accepted_ms == draft.row.accepted_ms
 }
 
-fn refuse(step: AcceptanceStep, view: &AcceptanceView, reason: &str) -> Refusal {
+/// Returns the refusal for a step that ends the acceptance.
+fn refusal_for(step: AcceptanceStep, view: &AcceptanceView, reason: &str) -> Refusal {
     match step {
         AcceptanceStep::RefuseFull => {
-            let reason = format!("{} tokens wait, {} are allowed", view.waiting, view.limit);
-            Refusal::not_run(ResultCode::RateExceeded, reason).with_retry_after(RETURN_PAUSE)
+            let reason =
+                format!("{} tokens are waiting, the limit is {}", view.waiting, view.limit);
+            Refusal::not_run(ResultCode::RateExceeded, reason).with_retry_after(RETRY_AFTER)
         }
         AcceptanceStep::LeaveOpen => Refusal::not_run(ResultCode::DeadlineExceeded, reason)
             .with_execution(Execution::MayHaveRun),
@@ -286,70 +299,72 @@
     }
 }
 
-/// Reads a team's partition anew.
-async fn refresh(state: &Arc<GatewayState>, team: &str) -> Result<(), StoreError> {
-    let rows = state.store.scan(&jobs_prefix(team), "", MOST_ROWS).await?;
+/// Reads the rows of a team's partition and updates the directory.
+async fn refresh_directory(state: &Arc<GatewayState>, team: &str) -> Result<(), StoreError> {
+    let rows = state.store.scan(&jobs_prefix(team), "", MAX_SCAN_ROWS).await?;
     for row in rows {
         super::directory::apply_row(state, &row);
     }
     Ok(())
 }
 
-/// Writes the job's row through the team's gate. Each further write goes through the gate as well,
-/// so that of several at most one takes effect.
-async fn write_row(state: &Arc<GatewayState>, draft: &JobDraft, gate_version: u64) -> WriteOutcome {
-    let gate = GateRow { accepted: draft.row.accepted_ms };
+/// Writes the job's row and the team's acceptance lock row in one transaction. Further attempts write the
+/// lock row as well, so that at most one of several takes effect.
+async fn write_row(state: &Arc<GatewayState>, draft: &JobDraft, lock_version: u64) -> WriteOutcome {
+    let lock_row = GateRow { accepted: draft.row.accepted_ms };
     let mut transaction = Transaction::default()
-        .put_at(draft.gate.clone(), gate_version, encode_row(&gate))
-        .put_at(draft.key.clone(), 0, encode_row(&draft.row));
+        .put_at(draft.lock_key.clone(), lock_version, encode_row(&lock_row))
+        .put_at(draft.job_key.clone(), 0, encode_row(&draft.row));
     if draft.row.input_rows > 0 {
-        // With the job in one write: an object before it takes five times as long, and while the store
-        // is slow callers would hear of the acceptance seconds after they want to.
-        for (piece, bytes) in draft.input.chunks(PIECE_BYTES).enumerate() {
-            let key = input_key(&draft.row.team, &draft.row.id, piece);
+        // The input is part of the same write: storing an object first takes five times as long, and while
+        // the store is slow callers would receive the acceptance seconds too late.
+        for (index, bytes) in draft.input.chunks(MAX_INPUT_ROW_BYTES).enumerate() {
+            let key = input_key(&draft.row.team, &draft.row.id, index);
             transaction = transaction.put(key, Bytes::copy_from_slice(bytes));
         }
     }
     let outcome = tokio::select! {
         biased;
         outcome = state.store.commit(transaction) => outcome,
-        () = row_seen(state, draft) => return WriteOutcome::Settled,
+        () = wait_for_row(state, draft) => return WriteOutcome::Visible,
     };
     let reason = match outcome {
         Ok(CommitOutcome::Committed(version)) => {
             state.directory.put(draft.row.clone(), version);
-            state.directory.put_acceptance_lock(&draft.gate, version);
-            return WriteOutcome::Settled;
+            state.directory.put_acceptance_lock(&draft.lock_key, version);
+            return WriteOutcome::Visible;
         }
         Ok(CommitOutcome::Conflict(_)) => None,
         Err(StoreError::Unavailable(reason)) => {
-            note_failure(state, draft, &reason);
-            tokio::time::sleep(FAILURE_PAUSE).await;
-            return WriteOutcome::NotDone(reason);
+            record_failure(state, draft, &reason);
+            tokio::time::sleep(STORE_RETRY_DELAY).await;
+            return WriteOutcome::NotApplied(reason);
         }
         Err(StoreError::Unknown(reason)) => {
-            note_failure(state, draft, &reason);
+            record_failure(state, draft, &reason);
             Some(reason)
         }
     };
-    match (refresh(state, &draft.row.team).await, reason) {
-        (Ok(()), None) => WriteOutcome::Settled,
-        (Ok(()), Some(reason)) => WriteOutcome::Unsettled(reason),
-        (Err(error), unknown) => {
+    match (refresh_directory(state, &draft.row.team).await, reason) {
+        (Ok(()), None) => WriteOutcome::Visible,
+        (Ok(()), Some(reason)) => WriteOutcome::Unknown(reason),
+        (Err(error), unknown_reason) => {
             let reason = error.to_string();
-            note_failure(state, draft, &reason);
-            tokio::time::sleep(FAILURE_PAUSE).await;
-            match unknown {
-                None => WriteOutcome::NotDone(reason),
-                Some(_) => WriteOutcome::Unsettled(reason),
+            record_failure(state, draft, &reason);
+            tokio::time::sleep(STORE_RETRY_DELAY).await;
+            match unknown_reason {
+                None => WriteOutcome::NotApplied(reason),
+                Some(_) => WriteOutcome::Unknown(reason),
             }
         }
     }
 }
 
-/// Waits until the watch of the table brings the row that this call writes. An answer that got lost would
-/// be missed only when the call's limit has passed, and callers would hear of the acceptance too late.
-async fn row_seen(state: &GatewayState, draft: &JobDraft) {
+/// Waits until the watch of the jobs table returns the row that this acceptance writes.
+///
+/// If the store's response to the write is lost, the write ends only at the call's timeout, and callers
+/// would receive the acceptance too late.
+async fn wait_for_row(state: &GatewayState, draft: &JobDraft) {
     let mut changes = state.directory.subscribe();
     loop {
         let known = state.directory.get(&draft.row.id);
@@ -362,19 +377,20 @@
     }
 }
 
-fn note_failure(state: &GatewayState, draft: &JobDraft, reason: &str) {
+fn record_failure(state: &GatewayState, draft: &JobDraft, reason: &str) {
     state.metrics.count_store_failure("accept");
     log::warn!(
         job = draft.row.id.as_str(), team = draft.row.team.as_str(), reason = reason,
-        since_ms = draft.began.elapsed().as_millis() as u64;
+        since_ms = draft.started.elapsed().as_millis() as u64;
         "job-not-written"
     );
 }
 
-/// Begins work on an accepted job. Where the acceptance was answered late, this host may have heard
-/// of the job from the table and have done some of it; that work goes on, or the look for orphaned
-/// jobs takes it up with what is listed.
-fn hold(state: &Arc<GatewayState>, draft: &JobDraft, items: Vec<ItemSpec>) {
+/// Starts work on an accepted job, unless work on it has started already.
+///
+/// If the store responded late, this host may have loaded the job from the table meanwhile and listed some
+/// of its results. That work goes on, or the scan for orphaned jobs loads the job with those results.
+fn start_job(state: &Arc<GatewayState>, draft: &JobDraft, items: Vec<ItemSpec>) {
     let Some(known) = state.directory.get(&draft.row.id) else { return };
     if !known.is_open() || known.row.listed > 0 {
         return;
@@ -383,7 +399,8 @@
     writer::hold_job(state, known, spec, &[], vec![]);
 }
 
-/// A job as the board holds it.
+/// Converts a job's row and items to the specification that the job table holds. Unix times become
+/// instants of this host's clock.
 pub(super) fn job_spec(row: &JobRow, items: Vec<Arc<ItemSpec>>) -> JobSpec {
     let now = Instant::now();
     let unix = unix_ms();
@@ -400,7 +417,7 @@
     }
 }
 
-/// Counts held jobs for the log.
+/// Returns the number of jobs that this host holds, for log lines.
 pub(super) fn held_count(state: &GatewayState) -> usize {
     lock(&state.jobs).jobs().count()
 }
