--- a/crates/cuminramp-gateway/src/jobs/end.rs
+++ b/crates/cuminramp-gateway/src/jobs/end.rs
@@ -1,4 +1,4 @@
-//! Ends jobs.
+//! Ends jobs when their callers ask for it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,55 +20,57 @@
 use crate::entry::{AnswerBody, complete_response};
 use crate::state::GatewayState;
 
-/// How long a host tries to make the end durable.
-const END_LIMIT: Duration = Duration::from_millis(3_000);
-/// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(80);
+/// Timeout after which a host stops trying to make a job's end durable.
+const END_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Delay after a failed call to the store, and the one after which callers should retry.
+const RETRY_DELAY: Duration = Duration::from_millis(80);
 
-/// Ends a job: what is listed stays, and nothing more of it runs.
+/// Ends a job: listed results stay readable, and its unfinished items are not run.
 pub(crate) async fn end_job(
     state: &Arc<GatewayState>,
     caller: &JobCaller,
     job: &str,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut known = find_job(state, caller, job).await?;
     while known.is_open() {
         match try_end(state, &known).await {
             Ok(true) => break,
             Ok(false) => {}
-            Err(error) if began.elapsed() >= END_LIMIT => {
+            Err(error) if started.elapsed() >= END_TIMEOUT => {
                 let refusal = Refusal::not_run(ResultCode::StoreUnavailable, error.to_string());
-                return Err(refusal.with_retry_after(PAUSE));
+                return Err(refusal.with_retry_after(RETRY_DELAY));
             }
-            Err(error) => wait_after(state, &known, &error).await,
+            Err(error) => back_off(state, &known, &error).await,
         }
         match read_row(state, &known).await {
             Ok(found) => known = found,
-            Err(error) => wait_after(state, &known, &error).await,
+            Err(error) => back_off(state, &known, &error).await,
         }
     }
     if known.row.phase() == JobPhase::Ended {
-        // The answer to the write that ended it was lost, or it was ended before.
+        // The response to the write that ended the job was lost, or the job had ended before.
         state.directory.record_end(job, known.version, Instant::now());
     }
     log::info!(
-        job = job, team = &*caller.team, took_ms = began.elapsed().as_millis() as u64;
+        job = job, team = &*caller.team, took_ms = started.elapsed().as_millis() as u64;
         "job-ended"
     );
     Ok(complete_response(StatusCode::OK, Bytes::from_static(b"{}")))
 }
 
-async fn wait_after(state: &GatewayState, known: &KnownJob, error: &StoreError) {
+/// Logs a failed call to the store and waits before the next attempt.
+async fn back_off(state: &GatewayState, known: &KnownJob, error: &StoreError) {
     state.metrics.count_store_failure("end");
     let reason = error.to_string();
     log::warn!(
         job = known.row.id.as_str(), row_version = known.version, reason = reason.as_str();
         "job-not-ended"
     );
-    tokio::time::sleep(PAUSE).await;
+    tokio::time::sleep(RETRY_DELAY).await;
 }
 
+/// Writes that the job has ended; returns `false` if its row has changed since it was read.
 async fn try_end(state: &Arc<GatewayState>, known: &KnownJob) -> Result<bool, StoreError> {
     let mut row = known.row.clone();
     row.phase = JobPhase::Ended as i32;
@@ -87,13 +89,14 @@
     }
 }
 
+/// Reads the job's row from the store and applies it.
 async fn read_row(state: &Arc<GatewayState>, known: &KnownJob) -> Result<KnownJob, StoreError> {
     let key = job_key(&known.row.team, &known.row.id);
     let rows = state.store.read(&[key]).await?;
     let row = rows.into_iter().next().flatten();
-    let row = row.ok_or_else(|| StoreError::Unknown("the job's row is gone".into()))?;
-    let read =
+    let row = row.ok_or_else(|| StoreError::Unknown("the job's row no longer exists".into()))?;
+    let job =
         decode_row::<JobRow>(&row.value).map_err(|error| StoreError::Unknown(error.to_string()))?;
     apply_row(state, &row);
-    Ok(KnownJob { row: read, version: row.version })
+    Ok(KnownJob { row: job, version: row.version })
 }
