--- a/crates/cuminramp-gateway/src/jobs/read.rs
+++ b/crates/cuminramp-gateway/src/jobs/read.rs
@@ -1,4 +1,4 @@
-//! Reads results and bodies, at any host.
+//! Reads job results and item bodies for callers. Any host can serve them, whichever holds the job.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,25 +18,28 @@
 use crate::interfaces::{ListedResult, ResultPage};
 use crate::state::{GatewayState, lock};
 
-/// Results in one answer, and their bytes: an answer has at most a megabyte.
-const MOST_RESULTS: usize = 60;
-const MOST_BYTES: usize = 900 << 10;
-/// The longest that a read waits for a result.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_000);
-/// Callers wait a little longer than they allow; the last look at the table needs this much.
+/// Maximum number of results in one response.
+const MAX_PAGE_RESULTS: usize = 60;
+/// Maximum number of bytes of results in one response. A response holds at most 1 MB.
+const MAX_PAGE_BYTES: usize = 900 << 10;
+/// Maximum time that a read waits for a result.
+const MAX_WAIT: Duration = Duration::from_millis(1_000);
+/// Time reserved for the last read of the table after the wait. Callers wait only a little longer than the
+/// time that they ask for.
 const WAIT_MARGIN: Duration = Duration::from_millis(60);
 
-fn unsure(error: &StoreError) -> Refusal {
+/// Returns the refusal for a failed call to the store.
+fn store_refusal(error: &StoreError) -> Refusal {
     Refusal::not_run(ResultCode::StoreUnavailable, error.to_string())
         .with_retry_after(Duration::from_millis(300))
 }
 
 fn unknown_job() -> Refusal {
-    Refusal::not_run(ResultCode::ResourceUnknown, "there is no such job")
+    Refusal::not_run(ResultCode::ResourceUnknown, "the job does not exist")
 }
 
-/// A job of a caller's team. What is not known here is asked of the table, so that "no such job" is
-/// only said where that is sure.
+/// Returns a job of the caller's team. Reads a job that the directory lacks from the store, so that only a
+/// job without a row is reported as unknown.
 pub(super) async fn find_job(
     state: &Arc<GatewayState>,
     caller: &JobCaller,
@@ -46,15 +49,16 @@
         return if known.row.team == *caller.team { Ok(known) } else { Err(unknown_job()) };
     }
     let rows = state.store.read(&[job_key(&caller.team, job)]).await;
-    let row = rows.map_err(|error| unsure(&error))?.into_iter().next().flatten();
+    let row = rows.map_err(|error| store_refusal(&error))?.into_iter().next().flatten();
     let row = row.ok_or_else(unknown_job)?;
-    let read = decode_row::<JobRow>(&row.value)
-        .map_err(|error| unsure(&StoreError::Unknown(error.to_string())))?;
-    state.directory.put(read.clone(), row.version);
-    Ok(KnownJob { row: read, version: row.version })
+    let decoded = decode_row::<JobRow>(&row.value)
+        .map_err(|error| store_refusal(&StoreError::Unknown(error.to_string())))?;
+    state.directory.put(decoded.clone(), row.version);
+    Ok(KnownJob { row: decoded, version: row.version })
 }
 
-/// Answers with results from a position on, and waits a while for the first.
+/// Responds with a job's results from position `after` on. Waits up to `wait` for the first one if none is
+/// listed yet.
 pub(crate) async fn read_results(
     state: &Arc<GatewayState>,
     caller: &JobCaller,
@@ -65,20 +69,20 @@
     let mut changes = state.directory.subscribe();
     let known = find_job(state, caller, job).await?;
     let total = known.row.total;
-    let wait = wait.min(LONGEST_WAIT).saturating_sub(WAIT_MARGIN);
+    let wait = wait.min(MAX_WAIT).saturating_sub(WAIT_MARGIN);
     if known.row.listed <= after && after < total && !wait.is_zero() {
-        let listed = async {
+        let result_listed = async {
             while changes.changed().await.is_ok() {
                 if state.directory.get(job).is_some_and(|known| known.row.listed > after) {
                     return;
                 }
             }
         };
-        // Whether or not the wait brought news, the table has the last word below.
-        let _ = tokio::time::timeout(wait, listed).await;
+        // The table is read below whether or not the wait timed out.
+        let _ = tokio::time::timeout(wait, result_listed).await;
     }
     let results = if after < total {
-        list_results(state, caller, job, after).await.map_err(|error| unsure(&error))?
+        read_page(state, caller, job, after).await.map_err(|error| store_refusal(&error))?
     } else {
         vec![]
     };
@@ -86,7 +90,8 @@
     Ok(complete_response(StatusCode::OK, state.calls.write_results(&page)))
 }
 
-async fn list_results(
+/// Reads listed results from position `after` on, as many as fit into one response.
+async fn read_page(
     state: &GatewayState,
     caller: &JobCaller,
     job: &str,
@@ -97,28 +102,32 @@
         Some(position) => result_key(&caller.team, job, position),
         None => String::new(),
     };
-    let rows = state.store.scan(&prefix, &before, MOST_RESULTS).await?;
+    let rows = state.store.scan(&prefix, &before, MAX_PAGE_RESULTS).await?;
     let mut results = Vec::with_capacity(rows.len());
     let mut bytes = 0;
     for row in rows {
-        let read = decode_row::<ResultRow>(&row.value)
+        let result = decode_row::<ResultRow>(&row.value)
             .map_err(|error| StoreError::Unknown(error.to_string()))?;
-        let text = if read.object.is_empty() {
-            read.text
+        let text = if result.object.is_empty() {
+            result.text
         } else {
-            let object = state.store.get(&read.object).await?.unwrap_or_default();
+            let object = state.store.get(&result.object).await?.unwrap_or_default();
             String::from_utf8_lossy(&object).into_owned()
         };
         bytes += text.len();
-        if bytes > MOST_BYTES && !results.is_empty() {
+        if bytes > MAX_PAGE_BYTES && !results.is_empty() {
             break;
         }
-        results.push(ListedResult { item: read.item.into(), is_complete: read.is_complete, text });
+        results.push(ListedResult {
+            item: result.item.into(),
+            is_complete: result.is_complete,
+            text,
+        });
     }
     Ok(results)
 }
 
-/// Answers with the body of an item.
+/// Responds with the body of an item: from memory if this host holds the job, otherwise from the store.
 pub(crate) async fn read_item(
     state: &Arc<GatewayState>,
     caller: &JobCaller,
@@ -133,7 +142,7 @@
     };
     let body = match held {
         Some(held) => held.body.clone(),
-        None => stored_body(state, &known.row, item).await?,
+        None => read_stored_body(state, &known.row, item).await?,
     };
     let mut response = complete_response(StatusCode::OK, body);
     let kind = HeaderValue::from_static("application/octet-stream");
@@ -141,15 +150,20 @@
     Ok(response)
 }
 
-async fn stored_body(state: &GatewayState, job: &JobRow, item: &str) -> Result<Bytes, Refusal> {
-    let input = read_input(state, job).await.map_err(|error| unsure(&error))?;
-    let found = input.items.into_iter().find(|held| held.id == item);
+/// Reads the body of an item from the job's stored input.
+async fn read_stored_body(
+    state: &GatewayState,
+    job: &JobRow,
+    item: &str,
+) -> Result<Bytes, Refusal> {
+    let input = read_input(state, job).await.map_err(|error| store_refusal(&error))?;
+    let found = input.items.into_iter().find(|stored| stored.id == item);
     let found = found
-        .ok_or_else(|| Refusal::not_run(ResultCode::ResourceUnknown, "the job has no such item"))?;
+        .ok_or_else(|| Refusal::not_run(ResultCode::ResourceUnknown, "the item does not exist"))?;
     Ok(Bytes::from(found.body))
 }
 
-/// A job's input.
+/// Reads a job's input from its rows or its object.
 pub(super) async fn read_input(state: &GatewayState, job: &JobRow) -> Result<JobInput, StoreError> {
     let bytes = match job.input_rows {
         0 => read_input_object(state, job).await?,
@@ -161,7 +175,7 @@
 async fn read_input_object(state: &GatewayState, job: &JobRow) -> Result<Bytes, StoreError> {
     let name = input_object(&job.team, &job.id);
     let object = state.store.get(&name).await?;
-    object.ok_or_else(|| StoreError::Unknown(format!("no object {name}")))
+    object.ok_or_else(|| StoreError::Unknown(format!("object {name} does not exist")))
 }
 
 async fn read_input_rows(
@@ -172,7 +186,7 @@
     let prefix = input_prefix(&job.team, &job.id);
     let found = state.store.scan(&prefix, "", rows).await?;
     if found.len() != rows {
-        return Err(StoreError::Unknown(format!("{} of {rows} rows of {prefix}", found.len())));
+        return Err(StoreError::Unknown(format!("{prefix} has {} of {rows} rows", found.len())));
     }
     let mut bytes = BytesMut::new();
     found.iter().for_each(|row| bytes.extend_from_slice(&row.value));
