--- a/crates/cuminramp-gateway/src/jobs/takeover.rs
+++ b/crates/cuminramp-gateway/src/jobs/takeover.rs
@@ -1,4 +1,4 @@
-//! Takes over jobs whose host is gone.
+//! Takes over jobs whose holder is lost or has handed them over.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,31 +18,32 @@
 use super::writer::hold_job;
 use crate::state::{GatewayState, lock};
 
-/// Time between two looks for jobs that nobody works on.
-const LOOK_EVERY: Duration = Duration::from_millis(400);
-/// A host that has just started has not heard others yet; all their jobs would seem orphaned.
-const SETTLE: Duration = Duration::from_millis(1_200);
-/// Most rows of a job's results or progress.
-const MOST_ROWS: usize = 500;
+/// Interval between two scans for orphaned jobs.
+const SCAN_INTERVAL: Duration = Duration::from_millis(400);
+/// Delay after the host's start before the first scan. Until heartbeats of other hosts arrive, all their jobs
+/// would appear orphaned.
+const STARTUP_DELAY: Duration = Duration::from_millis(1_200);
+/// Maximum number of result rows, and of progress rows, that are read of a job.
+const MAX_ROWS: usize = 500;
 
-/// Looks for such jobs until the host leaves.
+/// Scans for orphaned jobs and takes them over until the host drains.
 pub(crate) async fn take_jobs_over(state: Arc<GatewayState>) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep(LOOK_EVERY) => {}
+            () = tokio::time::sleep(SCAN_INTERVAL) => {}
             () = state.drain.cancelled() => return,
         }
-        if state.started.elapsed() < SETTLE {
+        if state.started.elapsed() < STARTUP_DELAY {
             continue;
         }
         for listed in state.directory.open_jobs() {
             if state.drain.is_cancelled() {
                 return;
             }
-            // Those before it may have taken seconds to read, in which it may have ended.
+            // Loading the jobs before this one may have taken seconds, in which this one may have ended.
             let known = state.directory.get(&listed.row.id).filter(KnownJob::is_open);
             let Some(known) = known else { continue };
-            if let Err(error) = consider(&state, known.clone()).await {
+            if let Err(error) = take_over_if_orphaned(&state, known.clone()).await {
                 state.metrics.count_store_failure("take-over");
                 let reason = error.to_string();
                 log::warn!(
@@ -56,18 +57,22 @@
     }
 }
 
-async fn consider(state: &Arc<GatewayState>, known: KnownJob) -> Result<(), StoreError> {
+/// Takes over a job whose holder is gone, or loads a job that this host should hold but doesn't.
+async fn take_over_if_orphaned(
+    state: &Arc<GatewayState>,
+    known: KnownJob,
+) -> Result<(), StoreError> {
     let holder = HostId {
         address: known.row.holder_address.as_str().into(),
         incarnation: known.row.holder_incarnation,
     };
-    let is_mine = holder == state.id();
-    if is_mine {
-        // Its acceptance took effect although the answer was lost.
+    let is_holder = holder == state.id();
+    if is_holder {
+        // A job that isn't held here was accepted by this host although the store's response was lost.
         let is_held = lock(&state.jobs).get(&known.row.id).is_some();
-        return if is_held { Ok(()) } else { load(state, known).await };
+        return if is_held { Ok(()) } else { load_job(state, known).await };
     }
-    if !is_due(state, &known.row, &holder) {
+    if !should_take_over(state, &known.row, &holder) {
         return Ok(());
     }
     let mut row = known.row.clone();
@@ -84,31 +89,34 @@
                 "job-taken-over"
             );
             state.directory.put(row.clone(), version);
-            load(state, KnownJob { row, version }).await
+            load_job(state, KnownJob { row, version }).await
         }
         CommitOutcome::Conflict(_) => Ok(()),
     }
 }
 
-/// Whether the holder is gone and this host is the one to follow it: all hosts that hear each other
-/// come to the same one, and the row's version settles it where they don't.
-fn is_due(state: &GatewayState, row: &JobRow, holder: &HostId) -> bool {
+/// Returns whether the holder is gone and this host is the one to take over the job.
+///
+/// Hosts that receive each other's heartbeats choose the same host. If hosts choose differently, the row's
+/// version lets only one of their writes commit.
+fn should_take_over(state: &GatewayState, row: &JobRow, holder: &HostId) -> bool {
     let now = Instant::now();
     let peers = lock(&state.peers);
-    let is_free = row.holder_address.is_empty();
-    if !is_free && (!peers.is_lost(holder, now) || !peers.has_majority(now)) {
+    let has_no_holder = row.holder_address.is_empty();
+    if !has_no_holder && (!peers.is_lost(holder, now) || !peers.has_majority(now)) {
         return false;
     }
-    let heard = peers.iter().filter(|record| {
+    let ready = peers.iter().filter(|record| {
         let is_ready = record.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.is_ready);
         is_ready && peers.is_alive(record, now)
     });
-    let mut hosts: Vec<Name> = heard.map(|record| record.host.address.clone()).collect();
+    let mut hosts: Vec<Name> = ready.map(|record| record.host.address.clone()).collect();
     hosts.push(state.me.address.clone());
     rank_by_score(&row.id, &mut hosts, |host| host);
     hosts[0] == state.me.address
 }
 
+/// Converts a job's stored input to its items.
 fn into_items(input: JobInput) -> Vec<Arc<ItemSpec>> {
     let items = input.items.into_iter().map(|item| {
         let headers = item.headers.into_iter();
@@ -123,8 +131,8 @@
     items.collect()
 }
 
-/// Reads what a job needs and goes on with it.
-async fn load(state: &Arc<GatewayState>, known: KnownJob) -> Result<(), StoreError> {
+/// Reads a job's input, listed results and progress, and starts work on its unfinished items.
+async fn load_job(state: &Arc<GatewayState>, known: KnownJob) -> Result<(), StoreError> {
     let row = &known.row;
     let input = read_input(state, row).await?;
     let finished = read_finished(state, row).await?;
@@ -134,8 +142,8 @@
         under_way = progress.len(), fence = row.fence, held = held_count(state);
         "job-loaded"
     );
-    // While this was read, an acceptance that was answered late may have begun the job and listed
-    // items that are not among those read.
+    // While this host read the rows, an acceptance that received the store's response late may have started
+    // the job and listed results that are not among those read.
     let is_current = state.directory.get(&row.id).is_some_and(|now| now.version == known.version);
     if !is_current {
         return Ok(());
@@ -145,9 +153,10 @@
     Ok(())
 }
 
+/// Reads the IDs of items with a listed result.
 async fn read_finished(state: &GatewayState, row: &JobRow) -> Result<Vec<Name>, StoreError> {
     let prefix = results_prefix(&row.team, &row.id);
-    let rows = state.store.scan(&prefix, "", MOST_ROWS).await?;
+    let rows = state.store.scan(&prefix, "", MAX_ROWS).await?;
     let mut finished = Vec::with_capacity(rows.len());
     for row in rows {
         let result = decode_row::<ResultRow>(&row.value)
@@ -157,22 +166,23 @@
     Ok(finished)
 }
 
+/// Reads the saved progress of a job's items.
 async fn read_progress(
     state: &GatewayState,
     row: &JobRow,
 ) -> Result<Vec<(Name, ItemProgress)>, StoreError> {
     let prefix = progress_prefix(&row.team, &row.id);
-    let rows = state.store.scan(&prefix, "", MOST_ROWS).await?;
-    let mut known = Vec::with_capacity(rows.len());
+    let rows = state.store.scan(&prefix, "", MAX_ROWS).await?;
+    let mut saved = Vec::with_capacity(rows.len());
     for row in rows {
-        let read = decode_row::<ProgressRow>(&row.value)
+        let decoded = decode_row::<ProgressRow>(&row.value)
             .map_err(|error| StoreError::Unknown(error.to_string()))?;
         let progress = ItemProgress {
-            last_event: Some(read.last_event),
-            text: read.text,
-            ran: Duration::from_millis(read.ran_ms),
+            last_event: Some(decoded.last_event),
+            text: decoded.text,
+            ran: Duration::from_millis(decoded.ran_ms),
         };
-        known.push((Name::from(read.item), progress));
+        saved.push((Name::from(decoded.item), progress));
     }
-    Ok(known)
+    Ok(saved)
 }
