--- a/crates/cuminramp-gateway/src/jobs/checkpoint.rs
+++ b/crates/cuminramp-gateway/src/jobs/checkpoint.rs
@@ -1,8 +1,9 @@
-//! Saves how far running items came.
+//! Saves the progress of running items in the store.
 //!
-//! A host that is killed or loses power takes the texts of its items with it. Where all hosts do, every
-//! item under way would begin anew, on targets that had little room to spare before: callers would get
-//! jobs seconds after they are due. What the store has goes on at another host from the next event.
+//! A host that is killed or loses power loses the output of its items. Without saved progress, a failure of
+//! all hosts would restart every item in progress on targets that had little free capacity before, and jobs
+//! would finish seconds after they are due. Another host resumes an item with saved progress from the next
+//! event.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,18 +17,20 @@
 use super::names::progress_key;
 use crate::state::{GatewayState, lock};
 
-/// Texts over this length go into an object of their own: rows hold 64 KiB in base64.
+/// Maximum length in bytes of an item's output in a row. Rows hold 64 KiB in base64, so the output of a
+/// finished item that is longer is stored as an object; longer progress is not saved.
 pub(super) const MAX_ROW_TEXT_BYTES: usize = 40 << 10;
-/// Bytes of texts in one write; the store takes a megabyte.
+/// Maximum number of bytes of output in one write. The store accepts 1 MB.
 pub(super) const MAX_WRITE_TEXT_BYTES: usize = 500 << 10;
-/// Rows of progress in one write; the store takes a hundred entries.
-const MOST_ROWS: usize = 90;
-/// Between two looks for progress to save.
-const SAVE_EVERY: Duration = Duration::from_millis(500);
-/// Time on a target that a write of an item has to be worth.
-const LEAST_UNSAVED: Duration = Duration::from_millis(600);
+/// Maximum number of progress rows in one write. The store accepts 100 entries.
+const MAX_WRITE_ROWS: usize = 90;
+/// Interval between two checks for unsaved progress.
+const SAVE_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum target time that an item has run since its last saved progress before its progress is saved
+/// again. Less isn't worth a write.
+const MIN_UNSAVED_RUN: Duration = Duration::from_millis(600);
 
-/// Adds rows of progress to a write, as many as it takes; returns the indices of their items.
+/// Adds progress rows to a transaction, as many as fit, and returns the indices of their items.
 pub(super) fn add_progress_rows<'a>(
     mut transaction: Transaction,
     team: &str,
@@ -37,8 +40,8 @@
     let (mut written, mut bytes) = (Vec::new(), 0);
     for (index, item, progress) in items {
         let length = progress.text.len();
-        let is_over = bytes + length > MAX_WRITE_TEXT_BYTES || written.len() == MOST_ROWS;
-        if length > MAX_ROW_TEXT_BYTES || is_over {
+        let is_full = bytes + length > MAX_WRITE_TEXT_BYTES || written.len() == MAX_WRITE_ROWS;
+        if length > MAX_ROW_TEXT_BYTES || is_full {
             continue;
         }
         let row = ProgressRow {
@@ -54,14 +57,14 @@
     (transaction, written)
 }
 
-/// Saves progress until the host leaves.
+/// Saves progress of running items until the host drains.
 pub(crate) async fn save_progress(state: Arc<GatewayState>) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep(SAVE_EVERY) => {}
+            () = tokio::time::sleep(SAVE_INTERVAL) => {}
             () = state.drain.cancelled() => return,
         }
-        let unsaved = lock(&state.jobs).unsaved(LEAST_UNSAVED);
+        let unsaved = lock(&state.jobs).unsaved(MIN_UNSAVED_RUN);
         for job in unsaved {
             if !save_job(&state, job).await {
                 break;
@@ -70,10 +73,11 @@
     }
 }
 
-/// Saves progress of one job; `false` where the store did not take it.
+/// Saves progress of one job; returns `false` if the write failed.
 ///
-/// The write has no condition. One of a host that lost the job meanwhile puts an earlier part of the
-/// same text there, and one that lands after the item was listed leaves a row that nobody reads.
+/// The write has no condition, because a late one does no harm. A host that has lost the job meanwhile
+/// writes an earlier part of the same output, and a write after the item's result was listed leaves a row
+/// that is never read.
 async fn save_job(state: &Arc<GatewayState>, unsaved: UnsavedJob) -> bool {
     let items = unsaved.items.iter().map(|(index, item, progress)| (*index, item, progress));
     let (transaction, written) =
--- a/crates/cuminramp-gateway/src/jobs/mod.rs
+++ b/crates/cuminramp-gateway/src/jobs/mod.rs
@@ -6,7 +6,6 @@
 mod directory;
 mod end;
 mod hand_over;
-
 mod names;
 mod read;
 mod run;
