--- a/crates/cuminramp-gateway/src/jobs/writer.rs
+++ b/crates/cuminramp-gateway/src/jobs/writer.rs
@@ -1,4 +1,4 @@
-//! One task for each held job: lists results, one write after another.
+//! Job writers: one task for each held job, which lists its results in one write at a time.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -17,42 +17,45 @@
 use super::run::stop_job;
 use crate::state::{GatewayState, lock};
 
-/// Results in one write; the store takes a hundred rows and a megabyte.
-const MOST_RESULTS: usize = 40;
-/// First and longest pause after a write that failed.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
+/// Maximum number of results in one write. The store accepts 100 rows and 1 MB.
+const MAX_WRITE_RESULTS: usize = 40;
+/// First and maximum delay after a failed call to the store. The delay doubles with each failure.
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
 
-/// What a keeper is asked to do.
+/// Command to a job writer.
 #[derive(Debug)]
 pub(super) enum WriterCommand {
-    /// List an item.
+    /// List the result of an item.
     List(FinishedItem),
-    /// Give the job back, with what is known of its items; answers when that is written.
+    /// Hand the job over with the progress of its items, and signal when the write has ended.
     HandOver(oneshot::Sender<()>),
 }
 
-/// The keepers of the jobs that this host holds.
+/// Command channels of the job writers of all jobs that this host holds.
 #[derive(Debug, Default)]
 pub(crate) struct JobWriters {
-    commands: Mutex<SortedMap<Name, mpsc::UnboundedSender<WriterCommand>>>,
+    senders: Mutex<SortedMap<Name, mpsc::UnboundedSender<WriterCommand>>>,
 }
 
 impl JobWriters {
-    /// Asks the keeper of a job; a job that is no longer held has none, and then nothing is owed.
+    /// Sends a command to a job's writer. Drops the command if the job has no writer, as this host then no
+    /// longer holds the job and has nothing to write for it.
     pub(super) fn send(&self, job: &str, command: WriterCommand) {
-        if let Some(commands) = lock(&self.commands).get(job) {
-            let _ = commands.send(command);
+        if let Some(sender) = lock(&self.senders).get(job) {
+            let _ = sender.send(command);
         }
     }
 
-    /// Ends the keeper of a job.
+    /// Closes the command channel of a job's writer, which then ends.
     pub(super) fn remove(&self, job: &str) {
-        lock(&self.commands).remove(job);
+        lock(&self.senders).remove(job);
     }
 }
 
-/// Takes a job: its items may run from now on. A job that is held stays as it is: a second keeper
-/// would not know what the first has listed, and items would stand at two positions.
+/// Holds a job: starts its writer and lets its items run.
+///
+/// Does nothing if the job is held already. A second writer would not have the results that the first has
+/// listed, and items would be listed at two positions.
 pub(super) fn hold_job(
     state: &Arc<GatewayState>,
     known: KnownJob,
@@ -61,15 +64,15 @@
     progress: Vec<(Name, ItemProgress)>,
 ) {
     let (sender, commands) = mpsc::unbounded_channel();
-    let items = spec.items.iter().map(|item| item.id.clone()).collect();
+    let item_ids = spec.items.iter().map(|item| item.id.clone()).collect();
     let mut jobs = lock(&state.jobs);
     if jobs.get(&spec.id).is_some() {
         return;
     }
-    lock(&state.writers.commands).insert(spec.id.clone(), sender);
+    lock(&state.writers.senders).insert(spec.id.clone(), sender);
     jobs.add(spec, finished, progress);
     drop(jobs);
-    let writer = JobWriter { state: state.clone(), known, items, commands };
+    let writer = JobWriter { state: state.clone(), known, item_ids, commands };
     let stop = state.stop.clone();
     tokio::spawn(async move {
         tokio::select! {
@@ -81,25 +84,28 @@
     state.request_heartbeat();
 }
 
+/// Task that writes the results of a held job.
 struct JobWriter {
     state: Arc<GatewayState>,
+    /// The job's row as this writer last read or wrote it.
     known: KnownJob,
-    items: Vec<Name>,
+    /// IDs of the job's items, by index.
+    item_ids: Vec<Name>,
     commands: mpsc::UnboundedReceiver<WriterCommand>,
 }
 
 impl JobWriter {
     async fn run(mut self) {
-        let mut held_back: Option<WriterCommand> = None;
+        let mut deferred: Option<WriterCommand> = None;
         loop {
-            let command = match held_back.take() {
+            let command = match deferred.take() {
                 Some(command) => Some(command),
                 None => self.commands.recv().await,
             };
             let Some(command) = command else { return };
-            let is_kept = match command {
+            let is_held = match command {
                 WriterCommand::List(first) => {
-                    let batch = self.gather(first, &mut held_back);
+                    let batch = self.collect_batch(first, &mut deferred);
                     self.list(batch).await
                 }
                 WriterCommand::HandOver(done) => {
@@ -108,28 +114,29 @@
                     false
                 }
             };
-            if !is_kept {
+            if !is_held {
                 return;
             }
         }
     }
 
-    /// Items that are finished by now, as many as one write takes.
-    fn gather(
+    /// Collects finished items from the command channel, up to the limits of one write. Another command ends
+    /// the batch and is stored in `deferred`.
+    fn collect_batch(
         &mut self,
         first: FinishedItem,
-        held_back: &mut Option<WriterCommand>,
+        deferred: &mut Option<WriterCommand>,
     ) -> Vec<FinishedItem> {
-        let mut bytes = text_len(&first);
+        let mut bytes = output_len(&first);
         let mut batch = vec![first];
-        while batch.len() < MOST_RESULTS && bytes < MAX_WRITE_TEXT_BYTES {
+        while batch.len() < MAX_WRITE_RESULTS && bytes < MAX_WRITE_TEXT_BYTES {
             match self.commands.try_recv() {
                 Ok(WriterCommand::List(next)) => {
-                    bytes += text_len(&next).min(MAX_ROW_TEXT_BYTES);
+                    bytes += output_len(&next).min(MAX_ROW_TEXT_BYTES);
                     batch.push(next);
                 }
                 Ok(command) => {
-                    *held_back = Some(command);
+                    *deferred = Some(command);
                     break;
                 }
                 Err(_) => break,
@@ -138,31 +145,32 @@
         batch
     }
 
-    /// Lists results; `false` where the job is done or no longer this host's.
+    /// Writes the results of a batch, and retries until the write is known to be committed. Returns `false`
+    /// if the job is no longer open or no longer held by this host.
     async fn list(&mut self, batch: Vec<FinishedItem>) -> bool {
-        let mut pause = PAUSES.0;
+        let mut delay = RETRY_DELAYS.0;
         loop {
             let next = self.next_row(batch.len());
-            let transaction = match self.make_write(&next, &batch).await {
+            let transaction = match self.build_transaction(&next, &batch).await {
                 Ok(transaction) => transaction,
                 Err(error) => {
-                    self.wait_after(&error, &mut pause).await;
+                    self.back_off(&error, &mut delay).await;
                     continue;
                 }
             };
             match self.state.store.commit(transaction).await {
-                Ok(CommitOutcome::Committed(version)) => return self.listed(next, version, &batch),
+                Ok(CommitOutcome::Committed(version)) => return self.record(next, version, &batch),
                 Ok(CommitOutcome::Conflict(_)) => {}
-                Err(error) => self.wait_after(&error, &mut pause).await,
+                Err(error) => self.back_off(&error, &mut delay).await,
             }
-            match self.read_back().await {
+            match self.read_row().await {
                 None => {}
-                Some(found) if found.row.commit == next.commit && self.is_mine(&found.row) => {
-                    // The row as it is now: the caller may have ended the job since. Going on from
-                    // the row that was written here would open it again.
-                    return self.listed(found.row, found.version, &batch);
+                Some(found) if found.row.commit == next.commit && self.is_holder(&found.row) => {
+                    // Uses the row that was read, because the caller may have ended the job since the
+                    // write. Continuing from the row that was written would reopen the job.
+                    return self.record(found.row, found.version, &batch);
                 }
-                Some(found) if self.is_unchanged(&found) => self.known = found,
+                Some(found) if self.can_continue_from(&found) => self.known = found,
                 Some(found) => {
                     log::info!(
                         job = self.known.row.id.as_str(), fence = found.row.fence,
@@ -177,7 +185,8 @@
         }
     }
 
-    async fn wait_after(&self, error: &StoreError, pause: &mut Duration) {
+    /// Logs a failed call to the store, waits, and doubles the delay.
+    async fn back_off(&self, error: &StoreError, delay: &mut Duration) {
         self.state.metrics.count_store_failure("list");
         let reason = error.to_string();
         log::warn!(
@@ -185,23 +194,26 @@
             reason = reason.as_str();
             "results-not-listed"
         );
-        tokio::time::sleep(*pause).await;
-        *pause = (*pause * 2).min(PAUSES.1);
+        tokio::time::sleep(*delay).await;
+        *delay = (*delay * 2).min(RETRY_DELAYS.1);
     }
 
-    /// Whether a row is as this keeper left it, so that its next write still fits. Another commit of
-    /// the same run means that somebody else listed items of it; the job is then loaded anew.
-    fn is_unchanged(&self, found: &KnownJob) -> bool {
+    /// Returns whether the row in the store has changed in nothing that this writer depends on, so that its
+    /// next write still applies. A different commit number under the same holder means that another writer
+    /// has listed items of the job; the job is then released and loaded again.
+    fn can_continue_from(&self, found: &KnownJob) -> bool {
         let is_same_commit = found.row.commit == self.known.row.commit;
-        found.is_open() && is_same_commit && self.is_mine(&found.row)
+        found.is_open() && is_same_commit && self.is_holder(&found.row)
     }
 
-    fn is_mine(&self, row: &JobRow) -> bool {
+    /// Returns whether a row has the holder and the fence that this writer writes under.
+    fn is_holder(&self, row: &JobRow) -> bool {
         row.holder_address == self.known.row.holder_address
             && row.holder_incarnation == self.known.row.holder_incarnation
             && row.fence == self.known.row.fence
     }
 
+    /// Returns the job's row after `count` more results.
     fn next_row(&self, count: usize) -> JobRow {
         let mut next = self.known.row.clone();
         next.listed += count as u32;
@@ -214,7 +226,8 @@
         next
     }
 
-    async fn make_write(
+    /// Builds the write of a batch's results, and stores long outputs as objects first.
+    async fn build_transaction(
         &self,
         next: &JobRow,
         batch: &[FinishedItem],
@@ -225,7 +238,7 @@
         for (offset, finished) in batch.iter().enumerate() {
             let position = self.known.row.listed + offset as u32;
             let mut row = ResultRow {
-                item: self.items[finished.index].to_string(),
+                item: self.item_ids[finished.index].to_string(),
                 is_complete: matches!(finished.outcome, ItemOutcome::Complete(_)),
                 ..ResultRow::default()
             };
@@ -246,12 +259,14 @@
         Ok(transaction)
     }
 
-    fn listed(&mut self, row: JobRow, version: u64, batch: &[FinishedItem]) -> bool {
+    /// Logs and counts the listed results, and records the job's new row. Returns whether the job is still
+    /// open.
+    fn record(&mut self, row: JobRow, version: u64, batch: &[FinishedItem]) -> bool {
         for (offset, finished) in batch.iter().enumerate() {
             let is_complete = matches!(finished.outcome, ItemOutcome::Complete(_));
             self.state.metrics.count_item(if is_complete { "complete" } else { "given-up" });
             log::info!(
-                job = row.id.as_str(), item = &*self.items[finished.index],
+                job = row.id.as_str(), item = &*self.item_ids[finished.index],
                 position = self.known.row.listed as u64 + offset as u64,
                 is_complete = is_complete, row_version = version;
                 "item-listed"
@@ -269,7 +284,8 @@
         is_open
     }
 
-    async fn read_back(&self) -> Option<KnownJob> {
+    /// Reads the job's row from the store; returns `None` if the read fails.
+    async fn read_row(&self) -> Option<KnownJob> {
         let key = job_key(&self.known.row.team, &self.known.row.id);
         let rows = self.state.store.read(&[key]).await;
         let row = rows.ok()?.into_iter().next()??;
@@ -277,8 +293,8 @@
         Some(KnownJob { row: job, version: row.version })
     }
 
-    /// Writes that nobody holds the job, with how far its items came. Without it other hosts would
-    /// wait until this one counts as lost, and begin its items anew.
+    /// Writes the job's row without a holder, and the progress of its items. Otherwise other hosts would
+    /// wait until this host counts as lost, and restart its items.
     async fn hand_over(&mut self) {
         let id = self.known.row.id.clone();
         let Some(held) = lock(&self.state.jobs).remove(&id) else { return };
@@ -290,7 +306,7 @@
         let key = job_key(&team, &id);
         let transaction = Transaction::default().put_at(key, self.known.version, encode_row(&next));
         let progress =
-            held.progress().map(|(index, progress)| (index, &self.items[index], progress));
+            held.progress().map(|(index, progress)| (index, &self.item_ids[index], progress));
         let (transaction, written) = add_progress_rows(transaction, &team, &id, progress);
         let outcome = self.state.store.commit(transaction).await;
         let outcome = format!("{outcome:?}");
@@ -303,7 +319,8 @@
     }
 }
 
-fn text_len(finished: &FinishedItem) -> usize {
+/// Returns the length of an item's output in bytes.
+fn output_len(finished: &FinishedItem) -> usize {
     match &finished.outcome {
         ItemOutcome::Complete(text) => text.len(),
         ItemOutcome::GivenUp => 0,
