--- a/crates/cuminramp-gateway/src/jobs/run.rs
+++ b/crates/cuminramp-gateway/src/jobs/run.rs
@@ -1,4 +1,4 @@
-//! Runs items in slots that their owners hand out, and breaks them off where online work comes.
+//! Runs items in slots that the slots' owners grant, and preempts them for online work.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -20,27 +20,30 @@
     EventOrder, EventSplitter, SendFailure, TargetAnswer, TargetRequest, TargetRun, send_request,
 };
 
-/// Between two looks at items that can be given up or may be tried again.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Pause after each look, so that a burst of changes is looked at once.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
-/// Time without a byte after which an item goes on elsewhere.
-const SILENCE_LIMIT: Duration = Duration::from_millis(2_000);
-/// Between two notes of how far a running item came.
-const NOTE_EVERY: Duration = Duration::from_millis(250);
-/// Time that an item's target gets. It bounds work for a host that is gone.
-const ITEM_LIMIT: Duration = Duration::from_secs(15);
+/// Maximum interval between two checks for items that expire or can be retried.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay after each check, so that one check covers a burst of changes.
+const DEBOUNCE_DELAY: Duration = Duration::from_millis(5);
+/// Timeout after which an item whose target sends no byte is resumed on another target.
+const TARGET_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Minimum interval between two records of a running item's progress.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
+/// Deadline that a target receives with an item. It limits orphaned work of a host
+/// that is lost.
+const ITEM_DEADLINE: Duration = Duration::from_secs(15);
 
+/// An item in flight on a target.
 #[derive(Debug)]
 struct RunningItem {
     job: Name,
     index: usize,
     target: Name,
+    /// When the results of its job are due.
     due: Instant,
     stop: CancellationToken,
 }
 
-/// Items on targets.
+/// Items that this host has in flight on targets.
 #[derive(Debug, Default)]
 pub(crate) struct RunningItems {
     items: Mutex<Vec<RunningItem>>,
@@ -57,40 +60,40 @@
         }
     }
 
-    /// Stops items of a job.
+    /// Cancels all items of a job.
     fn stop_job(&self, job: &str) {
         for item in lock(&self.items).iter().filter(|item| *item.job == *job) {
             item.stop.cancel();
         }
     }
 
-    /// Stops all items.
+    /// Cancels all items.
     pub(crate) fn stop_all(&self) {
         for item in lock(&self.items).iter() {
             item.stop.cancel();
         }
     }
 
-    /// Whether none is running.
+    /// Returns whether no item is in flight.
     pub(crate) fn is_empty(&self) -> bool {
         lock(&self.items).is_empty()
     }
 
-    /// Lets items leave a target until only `most` stay, those that are due last first; says how many
-    /// leave.
-    pub(crate) fn keep(&self, target: &str, most: u32) -> u32 {
+    /// Preempts items on a target until at most `max_items` remain, starting with those due last. Returns
+    /// the number of preempted items.
+    pub(crate) fn keep(&self, target: &str, max_items: u32) -> u32 {
         let items = lock(&self.items);
-        let here = items.iter().filter(|item| *item.target == *target);
-        let mut staying: Vec<&RunningItem> =
-            here.filter(|item| !item.stop.is_cancelled()).collect();
-        staying.sort_by_key(|item| std::cmp::Reverse(item.due));
-        let leaving = staying.len().saturating_sub(most as usize);
-        staying.iter().take(leaving).for_each(|item| item.stop.cancel());
-        leaving as u32
+        let on_target = items.iter().filter(|item| *item.target == *target);
+        let mut running: Vec<&RunningItem> =
+            on_target.filter(|item| !item.stop.is_cancelled()).collect();
+        running.sort_by_key(|item| std::cmp::Reverse(item.due));
+        let excess = running.len().saturating_sub(max_items as usize);
+        running.iter().take(excess).for_each(|item| item.stop.cancel());
+        excess as u32
     }
 }
 
-/// Stops work on a job that is no longer this host's.
+/// Stops work on a job that has ended or that this host no longer holds.
 pub(super) fn stop_job(state: &Arc<GatewayState>, job: &str) {
     lock(&state.jobs).remove(job);
     state.running.stop_job(job);
@@ -98,29 +101,30 @@
     state.request_heartbeat();
 }
 
-/// Asks for slots for items until the host leaves.
+/// Gives up expired items and requests slots for waiting ones until the host drains.
 pub(crate) async fn run_items(state: Arc<GatewayState>) {
     loop {
         tokio::select! {
             () = state.items_wanted.notified() => {}
-            () = tokio::time::sleep(LOOK_EVERY) => {}
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
             () = state.drain.cancelled() => return,
         }
-        drop_expired(&state);
+        give_up_expired(&state);
         ask_for_item_slots(&state);
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(DEBOUNCE_DELAY).await;
     }
 }
 
-fn drop_expired(state: &Arc<GatewayState>) {
-    let given_up = lock(&state.jobs).drop_expired(Instant::now());
-    for (job, finished) in given_up {
-        log::info!(job = &*job, index = finished.index, reason = "too old"; "item-given-up");
+/// Gives up items whose time has passed and lists them.
+fn give_up_expired(state: &Arc<GatewayState>) {
+    let expired = lock(&state.jobs).drop_expired(Instant::now());
+    for (job, finished) in expired {
+        log::info!(job = &*job, index = finished.index, reason = "expired"; "item-given-up");
         state.writers.send(&job, WriterCommand::List(finished));
     }
 }
 
-/// The pool that a job's items go to now.
+/// Returns the pool that a job's items are currently sent to.
 pub(crate) fn pool_of(state: &GatewayState, spec: &JobSpec) -> Option<Name> {
     let declared = state.declared()?;
     let path = &spec.items.first()?.path;
@@ -128,7 +132,7 @@
     route.pick_pool(cuminramp_core::hash_parts(&[&spec.id])).cloned()
 }
 
-/// Whether a job's items go to a pool now, and may run in a zone.
+/// Returns whether a job's items are currently sent to a pool and may run in a zone.
 pub(crate) fn may_run_in(state: &GatewayState, spec: &JobSpec, pool: &str, zone: &str) -> bool {
     if pool_of(state, spec).as_deref() != Some(pool) {
         return false;
@@ -140,7 +144,7 @@
     state.regions.limit(route_homes, team_homes).allows(zone)
 }
 
-/// Pools for which items of this host wait.
+/// Returns the pools that have waiting items of this host; none while the host drains.
 pub(crate) fn waiting_pools(state: &GatewayState) -> Vec<Name> {
     if state.is_draining() {
         return vec![];
@@ -155,23 +159,23 @@
     pools
 }
 
-/// Starts up to `most` items of a pool at a target; says how many.
+/// Starts up to `max_items` items of a pool on a target; returns the number started.
 pub(crate) fn fill_slots(
     state: &Arc<GatewayState>,
     pool: &str,
     target: &FleetTarget,
-    most: u16,
+    max_items: u16,
 ) -> u16 {
     if state.is_draining() {
         return 0;
     }
     let now = Instant::now();
-    for started in 0..most {
+    for started in 0..max_items {
         let accepts = |spec: &JobSpec| may_run_in(state, spec, pool, &target.zone);
         let Some(start) = lock(&state.jobs).next(accepts, now) else { return started };
         start_item(state, start, target.clone());
     }
-    most
+    max_items
 }
 
 fn start_item(state: &Arc<GatewayState>, start: ItemStart, target: FleetTarget) {
@@ -188,9 +192,11 @@
     tokio::spawn(run_item(state.clone(), start, run, stop));
 }
 
-/// How a run ended.
+/// How a run of an item on a target ended.
 enum RunEnd {
-    Whole,
+    /// The output is complete.
+    Complete,
+    /// The run failed or was cancelled, with the reason for the log.
     Failed(ItemFailure, String),
 }
 
@@ -201,34 +207,35 @@
     stop: CancellationToken,
 ) {
     let target = run.target.id.clone();
-    let began = Instant::now();
+    let started = Instant::now();
     let resumed_after = start.progress.last_event;
     let mut progress = start.progress.clone();
     let end = tokio::select! {
         biased;
-        () = stop.cancelled() => RunEnd::Failed(ItemFailure::GaveWay, "gave way".into()),
+        () = stop.cancelled() => RunEnd::Failed(ItemFailure::GaveWay, "cancelled".into()),
         () = state.stop.cancelled() => return,
-        end = drive(&state, &start, run, &mut progress) => end,
+        end = send_item(&state, &start, run, &mut progress) => end,
     };
-    progress.ran += began.elapsed();
+    progress.ran += started.elapsed();
     state.running.remove(&start.job, start.index, &target);
     let events = progress.last_event;
-    let (word, reason) = match &end {
-        RunEnd::Whole => ("whole", String::new()),
-        RunEnd::Failed(failure, reason) => (failure_word(*failure), reason.clone()),
+    let (label, reason) = match &end {
+        RunEnd::Complete => ("whole", String::new()),
+        RunEnd::Failed(failure, reason) => (failure_label(*failure), reason.clone()),
     };
-    state.metrics.count_item(word);
+    state.metrics.count_item(label);
     log::info!(
-        job = &*start.job, item = &*start.item.id, target_id = &*target, outcome = word,
+        job = &*start.job, item = &*start.item.id, target_id = &*target, outcome = label,
         reason = reason.as_str(), resumed_after = resumed_after.map_or(-1, |id| id as i64),
         last_event = events.map_or(-1, |id| id as i64),
-        took_ms = began.elapsed().as_millis() as u64;
+        took_ms = started.elapsed().as_millis() as u64;
         "item-run"
     );
     finish_run(&state, &start, end, progress);
 }
 
-fn failure_word(failure: ItemFailure) -> &'static str {
+/// Returns the label of a failure in metrics and logs.
+fn failure_label(failure: ItemFailure) -> &'static str {
     match failure {
         ItemFailure::GaveWay => "gave-way",
         ItemFailure::Broken => "broken",
@@ -237,10 +244,11 @@
     }
 }
 
+/// Records how a run ended, and lists the item if it is finished.
 fn finish_run(state: &Arc<GatewayState>, start: &ItemStart, end: RunEnd, progress: ItemProgress) {
     let now = Instant::now();
     let finished: Option<FinishedItem> = match end {
-        RunEnd::Whole => lock(&state.jobs).complete(&start.job, start.index, progress, now),
+        RunEnd::Complete => lock(&state.jobs).complete(&start.job, start.index, progress, now),
         RunEnd::Failed(failure, _) => {
             lock(&state.jobs).fail(&start.job, start.index, failure, progress, now)
         }
@@ -252,21 +260,23 @@
     state.request_heartbeat();
 }
 
+/// Returns the end of a run whose target stopped working on the item.
 fn broken(reason: impl Into<String>) -> RunEnd {
     RunEnd::Failed(ItemFailure::Broken, reason.into())
 }
 
-async fn drive(
+/// Sends an item to its target and reads the response.
+async fn send_item(
     state: &Arc<GatewayState>,
     start: &ItemStart,
     run: TargetRun,
     progress: &mut ItemProgress,
 ) -> RunEnd {
     let Some(spec) = lock(&state.jobs).get(&start.job).map(|job| job.spec().clone()) else {
-        return RunEnd::Failed(ItemFailure::GaveWay, "the job is gone".into());
+        return RunEnd::Failed(ItemFailure::GaveWay, "the job was released".into());
     };
     let head = TargetHead {
-        deadline: Some(ITEM_LIMIT),
+        deadline: Some(ITEM_DEADLINE),
         team: Some(&spec.team),
         target: &run.target.id.clone(),
         last_event: progress.last_event,
@@ -276,7 +286,7 @@
         Err(error) => return RunEnd::Failed(ItemFailure::Failed, error.to_string()),
     };
     let Ok(path) = start.item.path.parse::<Uri>() else {
-        return RunEnd::Failed(ItemFailure::Failed, "the path can't be used".into());
+        return RunEnd::Failed(ItemFailure::Failed, "the path is not a valid URI".into());
     };
     let request = TargetRequest {
         method: Method::POST,
@@ -285,12 +295,12 @@
         body: start.item.body.clone(),
         request_id: Some(start.item.id.clone()),
         is_fresh: false,
-        head_limit: SILENCE_LIMIT,
+        head_limit: TARGET_SILENCE_TIMEOUT,
     };
     match send_request(run, request).await {
         Ok(answer) => {
-            let notes = ProgressNotes::new(state, start, progress);
-            read_answer(answer, progress, notes).await
+            let recorder = ProgressRecorder::new(state, start, progress);
+            read_answer(answer, progress, recorder).await
         }
         Err(failure @ (SendFailure::NotSent(_) | SendFailure::Refused { .. })) => {
             RunEnd::Failed(ItemFailure::GaveWay, failure.word().into())
@@ -299,10 +309,11 @@
     }
 }
 
+/// Checks the status of a target's response and reads its events.
 async fn read_answer(
     answer: TargetAnswer,
     progress: &mut ItemProgress,
-    notes: ProgressNotes,
+    recorder: ProgressRecorder,
 ) -> RunEnd {
     let status = answer.parts.status;
     if status == StatusCode::UNPROCESSABLE_ENTITY {
@@ -314,20 +325,21 @@
     if !status.is_success() {
         return broken(status.to_string());
     }
-    read_events(answer, progress, notes).await
+    read_events(answer, progress, recorder).await
 }
 
+/// Reads events into `progress` until the stream ends or fails.
 async fn read_events(
     mut answer: TargetAnswer,
     progress: &mut ItemProgress,
-    mut notes: ProgressNotes,
+    mut recorder: ProgressRecorder,
 ) -> RunEnd {
     let mut splitter = EventSplitter::default();
     loop {
-        let frame = match tokio::time::timeout(SILENCE_LIMIT, answer.body.frame()).await {
+        let frame = match tokio::time::timeout(TARGET_SILENCE_TIMEOUT, answer.body.frame()).await {
             Err(_) => {
                 answer.run.end_failed();
-                return broken("silent");
+                return broken("no data within the timeout");
             }
             Ok(Some(Err(error))) => {
                 answer.run.end_failed();
@@ -336,11 +348,11 @@
             Ok(Some(Ok(frame))) => frame,
             Ok(None) if splitter.rest().is_empty() && progress.last_event.is_some() => {
                 answer.run.end_whole(answer.head.keep_alive);
-                return RunEnd::Whole;
+                return RunEnd::Complete;
             }
             Ok(None) => {
                 answer.run.end_failed();
-                return broken("ended in the middle of an event");
+                return broken("the stream ended without a complete last event");
             }
         };
         let Ok(bytes) = frame.into_data() else { continue };
@@ -358,7 +370,7 @@
             progress.text.push_str(&event.data());
             progress.last_event = Some(id);
         }
-        notes.note(progress);
+        recorder.record(progress);
         if let Some(reason) = splitter.overlong_event() {
             answer.run.end_failed();
             return broken(reason);
@@ -366,35 +378,36 @@
     }
 }
 
-/// Tells the board of jobs now and then how far a running item came.
-struct ProgressNotes {
+/// Records a running item's progress in the job table, at most once per [`PROGRESS_INTERVAL`].
+struct ProgressRecorder {
     state: Arc<GatewayState>,
     job: Name,
     index: usize,
-    began: Instant,
+    started: Instant,
+    /// Target time of earlier runs.
     ran_before: Duration,
-    noted: Instant,
+    recorded: Instant,
 }
 
-impl ProgressNotes {
+impl ProgressRecorder {
     fn new(state: &Arc<GatewayState>, start: &ItemStart, progress: &ItemProgress) -> Self {
         let now = Instant::now();
-        ProgressNotes {
+        ProgressRecorder {
             state: state.clone(),
             job: start.job.clone(),
             index: start.index,
-            began: now,
+            started: now,
             ran_before: progress.ran,
-            noted: now,
+            recorded: now,
         }
     }
 
-    fn note(&mut self, progress: &ItemProgress) {
-        if self.noted.elapsed() < NOTE_EVERY {
+    fn record(&mut self, progress: &ItemProgress) {
+        if self.recorded.elapsed() < PROGRESS_INTERVAL {
             return;
         }
-        self.noted = Instant::now();
-        let ran = self.ran_before + self.began.elapsed();
+        self.recorded = Instant::now();
+        let ran = self.ran_before + self.started.elapsed();
         let progress = ItemProgress { ran, ..progress.clone() };
         lock(&self.state.jobs).record_progress(&self.job, self.index, &progress);
     }
