--- a/crates/cuminramp-gateway/src/jobs/directory/tests.rs
+++ b/crates/cuminramp-gateway/src/jobs/directory/tests.rs
@@ -7,7 +7,7 @@
 const REPORT_WINDOW: Duration = Duration::from_secs(3);
 
 /// Guards against heartbeats that outgrow what receivers read, which makes the host appear silent to all
-/// others. It comes about when a caller ends the same job repeatedly, or callers end thousands of jobs.
+/// others. This happens when a caller ends the same job repeatedly, or callers end thousands of jobs.
 #[tokio::test(start_paused = true)]
 async fn ends_in_a_heartbeat_are_reported_once_and_are_bounded() {
     let directory = JobDirectory::default();
--- a/crates/cuminramp-gateway/src/jobs/end.rs
+++ b/crates/cuminramp-gateway/src/jobs/end.rs
@@ -1,4 +1,4 @@
-//! Ends jobs when their callers ask for it.
+//! Ends jobs at the request of their callers.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/cuminramp-gateway/src/jobs/read.rs
+++ b/crates/cuminramp-gateway/src/jobs/read.rs
@@ -25,7 +25,7 @@
 /// Maximum time that a read waits for a result.
 const MAX_WAIT: Duration = Duration::from_millis(1_000);
 /// Time reserved for the last read of the table after the wait. Callers wait only a little longer than the
-/// time that they ask for.
+/// time that they request.
 const WAIT_MARGIN: Duration = Duration::from_millis(60);
 
 /// Returns the refusal for a failed call to the store.
--- a/crates/cuminramp-gateway/src/jobs/takeover.rs
+++ b/crates/cuminramp-gateway/src/jobs/takeover.rs
@@ -57,7 +57,8 @@
     }
 }
 
-/// Takes over a job whose holder is gone, or loads a job that this host should hold but doesn't.
+/// Takes over a job whose holder is lost or has handed it over. Loads a job that this host should hold but
+/// doesn't.
 async fn take_over_if_orphaned(
     state: &Arc<GatewayState>,
     known: KnownJob,
@@ -95,7 +96,7 @@
     }
 }
 
-/// Returns whether the holder is gone and this host is the one to take over the job.
+/// Returns whether the job has no live holder and this host is the one to take it over.
 ///
 /// Hosts that receive each other's heartbeats choose the same host. If hosts choose differently, the row's
 /// version lets only one of their writes commit.
