--- a/crates/cuminramp-gateway/src/jobs/accept.rs
+++ b/crates/cuminramp-gateway/src/jobs/accept.rs
@@ -386,7 +386,7 @@
     );
 }
 
-/// Starts work on an accepted job, unless work on it has started already.
+/// Starts work on an accepted job, unless the job is held, has listed results or is no longer open.
 ///
 /// If the store responded late, this host may have loaded the job from the table meanwhile and listed some
 /// of its results. That work goes on, or the scan for orphaned jobs loads the job with those results.
