--- a/crates/cuminramp-fleet/src/jobs.rs
+++ b/crates/cuminramp-fleet/src/jobs.rs
@@ -1,4 +1,4 @@
-//! The items of the jobs that this host holds, and which of them goes next.
+//! Items of the jobs that this host holds, and the order in which they run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,46 +18,47 @@
 
 use crate::demand::{ItemDemand, MAX_DEMAND_GROUPS};
 
-/// Pauses and estimates for items.
+/// Retry delays and run time estimates for items.
 #[derive(Clone, Copy, Debug)]
 pub struct JobPolicy {
-    /// Time an item takes on a target, assumed until items have been seen.
-    pub first_run: Duration,
-    /// Pause before a failed item is tried again.
-    pub failure_pause: Duration,
-    /// First pause before an item is tried again at which several targets broke: it may have broken
-    /// them. Targets that break for reasons of their own are mostly back by then.
-    pub crash_pause: Duration,
-    /// How many times longer each further such pause is. An item that breaks what it runs on gets
-    /// two targets in the half minute after the first three.
-    pub crash_growth: u32,
-    /// The longest such pause.
-    pub max_crash_pause: Duration,
-    /// Breaks before the first event after which an item is paused so.
-    pub crash_limit: u32,
+    /// Initial estimate of the time that an item runs on a target; completed items adjust it.
+    pub initial_run_time: Duration,
+    /// Delay before an item is retried after a failed run, or after fewer than `crash_threshold`
+    /// crashes.
+    pub failure_delay: Duration,
+    /// Delay before an item is retried after `crash_threshold` crashes: the item may have caused them.
+    /// Targets that crash for other reasons are mostly back by then.
+    pub initial_crash_delay: Duration,
+    /// Factor by which the delay grows with each further crash. With the defaults, an item that
+    /// crashes every target reaches two more in the half minute after the first three.
+    pub crash_delay_factor: u32,
+    /// Maximum delay after a crash.
+    pub max_crash_delay: Duration,
+    /// Number of consecutive crashes without a new event after which `initial_crash_delay` applies.
+    pub crash_threshold: u32,
 }
 
 impl Default for JobPolicy {
     fn default() -> Self {
         JobPolicy {
-            first_run: Duration::from_secs(5),
-            failure_pause: Duration::from_millis(150),
-            crash_pause: Duration::from_millis(2_500),
-            crash_growth: 3,
-            max_crash_pause: Duration::from_secs(60),
-            crash_limit: 3,
+            initial_run_time: Duration::from_secs(5),
+            failure_delay: Duration::from_millis(150),
+            initial_crash_delay: Duration::from_millis(2_500),
+            crash_delay_factor: 3,
+            max_crash_delay: Duration::from_secs(60),
+            crash_threshold: 3,
         }
     }
 }
 
 impl JobPolicy {
-    /// Pause after so many breaks in a row without an event.
-    fn pause_after_breaks(&self, breaks: u32) -> Duration {
-        match breaks.checked_sub(self.crash_limit) {
-            None => self.failure_pause,
+    /// Returns the delay after the given number of consecutive crashes without a new event.
+    fn delay_after_crashes(&self, crashes: u32) -> Duration {
+        match crashes.checked_sub(self.crash_threshold) {
+            None => self.failure_delay,
             Some(further) => {
-                let factor = self.crash_growth.saturating_pow(further);
-                self.crash_pause.saturating_mul(factor).min(self.max_crash_pause)
+                let factor = self.crash_delay_factor.saturating_pow(further);
+                self.initial_crash_delay.saturating_mul(factor).min(self.max_crash_delay)
             }
         }
     }
@@ -76,12 +77,14 @@
     phase: ItemPhase,
     progress: ItemProgress,
     saved: SavedProgress,
-    /// The last event that was known when the present run began.
-    begun_after: Option<u64>,
-    /// When this host first sent it to a target, and how long it had run before.
-    begun: Option<(Instant, Duration)>,
+    /// Last event received before the current run started.
+    resumed_after: Option<u64>,
+    /// When this host first sent the item to a target, and how long it had run before that.
+    first_started: Option<(Instant, Duration)>,
     failures: u32,
-    breaks: u32,
+    /// Consecutive crashes without a new event.
+    crashes: u32,
+    /// Earliest time of the next run.
     not_before: Option<Instant>,
 }
 
@@ -94,33 +97,33 @@
 }
 
 impl HeldJob {
-    /// What was accepted.
+    /// Returns the job as it was accepted.
     pub fn spec(&self) -> &JobSpec {
         &self.spec
     }
 
-    /// Tokens of the items that are not finished.
+    /// Returns the sum of the tokens of all unfinished items.
     pub fn unfinished_tokens(&self) -> u64 {
         let open = self.items.iter().filter(|entry| entry.phase != ItemPhase::Finished);
         open.map(|entry| entry.item.tokens).sum()
     }
 
-    /// Whether any item waits for a place now.
+    /// Returns whether any item can be sent to a target now.
     pub fn has_waiting(&self, now: Instant) -> bool {
-        self.items.iter().any(|entry| is_due_to_run(entry, now))
+        self.items.iter().any(|entry| is_ready(entry, now))
     }
 
-    /// Whether every item is finished.
+    /// Returns whether every item is finished.
     pub fn is_finished(&self) -> bool {
         self.unfinished == 0
     }
 
-    /// What is known of items that are under way, by index.
+    /// Returns the index and progress of each waiting item that has received an event.
     pub fn progress(&self) -> impl Iterator<Item = (usize, &ItemProgress)> {
-        let begun = self.items.iter().enumerate().filter(|(_, entry)| {
+        let started = self.items.iter().enumerate().filter(|(_, entry)| {
             entry.phase == ItemPhase::Waiting && entry.progress.last_event.is_some()
         });
-        begun.map(|(index, entry)| (index, &entry.progress))
+        started.map(|(index, entry)| (index, &entry.progress))
     }
 }
 
@@ -129,23 +132,31 @@
 pub struct JobTable {
     policy: JobPolicy,
     jobs: SortedMap<Name, HeldJob>,
-    run: Duration,
-    /// Time from an item's first start to its end, for each second that a target works on it.
-    stretch: f64,
+    /// Moving average of the time that an item runs on targets.
+    average_run_time: Duration,
+    /// Moving average of the time from an item's first start to its end, divided by its run time.
+    slowdown: f64,
 }
 
-/// How much a new sample weighs in the average time that an item takes.
-const RUN_WEIGHT: f64 = 0.1;
-/// The least and largest stretch that is believed: after an outage items wait for as long as it took.
-const STRETCH_BOUNDS: (f64, f64) = (1.0, 2.5);
+/// Weight of a new sample in the moving averages of run time and slowdown.
+const SAMPLE_WEIGHT: f64 = 0.1;
+/// Range to which a slowdown sample is clamped. After an outage, the samples also contain the time that
+/// items waited for targets to return.
+const SLOWDOWN_RANGE: (f64, f64) = (1.0, 2.5);
 
 impl JobTable {
-    /// Holds nothing yet.
+    /// Returns a table without jobs.
     pub fn new(policy: JobPolicy) -> Self {
-        JobTable { policy, jobs: SortedMap::new(), run: policy.first_run, stretch: 1.0 }
+        JobTable {
+            policy,
+            jobs: SortedMap::new(),
+            average_run_time: policy.initial_run_time,
+            slowdown: 1.0,
+        }
     }
 
-    /// Takes a job over, with the items that are finished already and what is known of others.
+    /// Adds a job that this host now holds. `finished` lists the items that are already done, `known`
+    /// the progress of others.
     pub fn add(&mut self, spec: JobSpec, finished: &[Name], mut known: Vec<(Name, ItemProgress)>) {
         let entry = |item: &Arc<ItemSpec>| {
             let at = known.iter().position(|(id, _)| *id == item.id);
@@ -156,10 +167,10 @@
                 phase: if is_finished { ItemPhase::Finished } else { ItemPhase::Waiting },
                 saved: SavedProgress::of(&progress),
                 progress,
-                begun_after: None,
-                begun: None,
+                resumed_after: None,
+                first_started: None,
                 failures: 0,
-                breaks: 0,
+                crashes: 0,
                 not_before: None,
             }
         };
@@ -168,34 +179,37 @@
         self.jobs.insert(spec.id.clone(), HeldJob { spec, items, unfinished });
     }
 
-    /// Lets a job go: it ended, is done, or another host holds it now.
+    /// Removes a job that ended, completed or is now held by another host.
     pub fn remove(&mut self, id: &str) -> Option<HeldJob> {
         self.jobs.remove(id)
     }
 
-    /// A job that this host holds.
+    /// Returns a job that this host holds.
     pub fn get(&self, id: &str) -> Option<&HeldJob> {
         self.jobs.get(id)
     }
 
-    /// All held jobs.
+    /// Returns all held jobs.
     pub fn jobs(&self) -> impl Iterator<Item = &HeldJob> {
         self.jobs.values()
     }
 
-    /// How many items wait for a place now.
+    /// Returns the number of items that can be sent to a target now.
     pub fn waiting(&self, now: Instant) -> u32 {
         let items = self.jobs.values().flat_map(|job| &job.items);
-        items.filter(|entry| is_due_to_run(entry, now)).count() as u32
+        items.filter(|entry| is_ready(entry, now)).count() as u32
     }
 
-    /// Items of some jobs that wait for a place now, by urgency. Beyond [`MAX_DEMAND_GROUPS`] the others count as
-    /// one group, as urgent as its last: counted as urgent as its first, items that are late already
-    /// would take the room of those of other hosts that can still be in time.
+    /// Returns the items that can be sent to a target now, for the jobs that `accepts` selects,
+    /// grouped by urgency.
+    ///
+    /// The groups beyond [`MAX_DEMAND_GROUPS`] are merged into the last one and get its urgency. With
+    /// the urgency of the first merged group, items that are already late would get slots ahead of
+    /// items of other hosts that can still be in time.
     pub fn demand(&self, accepts: impl Fn(&JobSpec) -> bool, now: Instant) -> Vec<ItemDemand> {
         let mut groups: Vec<ItemDemand> = Vec::new();
         for job in self.jobs.values().filter(|job| accepts(&job.spec)) {
-            let waiting = || job.items.iter().filter(|entry| is_due_to_run(entry, now));
+            let waiting = || job.items.iter().filter(|entry| is_ready(entry, now));
             let late = waiting().filter(|entry| self.is_late(&job.spec, entry, now)).count() as u32;
             let in_time = waiting().count() as u32 - late;
             groups.push(ItemDemand::new(false, job.spec.due, in_time, now));
@@ -212,42 +226,44 @@
         groups
     }
 
-    /// Whether an item can't be done by when it is due.
+    /// Returns whether an item can no longer finish before its job is due.
     ///
-    /// Items give way to callers on their way, so they take longer than a target works on them. Were
-    /// that left out, items with just too little time would go first, break off at the next crest and
-    /// be late, and then those behind them in turn.
+    /// Callers preempt items, so an item needs more time than a target works on it; the slowdown
+    /// accounts for that. Without it, items with slightly too little time would run first, be preempted
+    /// at the next peak and finish late, and then the items behind them would be late as well.
     fn is_late(&self, spec: &JobSpec, entry: &ItemEntry, now: Instant) -> bool {
-        now + self.run.saturating_sub(entry.progress.ran).mul_f64(self.stretch) > spec.due
+        now + self.average_run_time.saturating_sub(entry.progress.ran).mul_f64(self.slowdown)
+            > spec.due
     }
 
-    fn note_stretch(&mut self, job: &str, index: usize, ran: Duration, now: Instant) {
+    /// Updates the average slowdown with an item that completed after `ran` on targets.
+    fn record_slowdown(&mut self, job: &str, index: usize, ran: Duration, now: Instant) {
         let entry = self.jobs.get(job).and_then(|job| job.items.get(index));
-        let Some((since, ran_before)) = entry.and_then(|entry| entry.begun) else { return };
+        let Some((since, ran_before)) = entry.and_then(|entry| entry.first_started) else { return };
         let ran = ran.saturating_sub(ran_before);
         if ran.is_zero() {
             return;
         }
-        let (least, most) = STRETCH_BOUNDS;
-        let seen = now.duration_since(since).as_secs_f64() / ran.as_secs_f64();
-        let seen = seen.clamp(least, most);
-        self.stretch = self.stretch * (1.0 - RUN_WEIGHT) + seen * RUN_WEIGHT;
+        let (min, max) = SLOWDOWN_RANGE;
+        let sample = now.duration_since(since).as_secs_f64() / ran.as_secs_f64();
+        let sample = sample.clamp(min, max);
+        self.slowdown = self.slowdown * (1.0 - SAMPLE_WEIGHT) + sample * SAMPLE_WEIGHT;
     }
 
-    /// The next item of a job on `route`, and counts it as running.
+    /// Returns the next item to run of the jobs that `accepts` selects, and marks it as running.
     ///
-    /// Jobs that are due sooner go first, so that whole jobs finish rather than all jobs half. An
-    /// item that can't be done in time any more waits behind those that still can: it would only
-    /// make another late as well.
+    /// Items of jobs that are due sooner run first, so that some jobs complete instead of all jobs
+    /// being half done. An item that can no longer finish in time waits behind those that can:
+    /// run first, it would only make another one late as well.
     pub fn next(&mut self, accepts: impl Fn(&JobSpec) -> bool, now: Instant) -> Option<ItemStart> {
         let mut best: Option<((bool, Instant, usize), Name)> = None;
         for (id, job) in self.jobs.iter().filter(|(_, job)| accepts(&job.spec)) {
             for (index, entry) in job.items.iter().enumerate() {
-                if !is_due_to_run(entry, now) {
+                if !is_ready(entry, now) {
                     continue;
                 }
                 let rank = (self.is_late(&job.spec, entry, now), job.spec.due, index);
-                if best.as_ref().is_none_or(|(held, _)| rank < *held) {
+                if best.as_ref().is_none_or(|(best_rank, _)| rank < *best_rank) {
                     best = Some((rank, id.clone()));
                 }
             }
@@ -256,13 +272,13 @@
         let entry = &mut self.jobs.get_mut(&id)?.items[index];
         entry.phase = ItemPhase::Running;
         let progress = std::mem::take(&mut entry.progress);
-        entry.begun_after = progress.last_event;
-        entry.begun = entry.begun.or(Some((now, progress.ran)));
+        entry.resumed_after = progress.last_event;
+        entry.first_started = entry.first_started.or(Some((now, progress.ran)));
         Some(ItemStart { job: id, index, item: entry.item.clone(), progress })
     }
 
-    /// An item's whole output is there. `None` where the job is no longer held or the item was
-    /// finished before.
+    /// Marks an item as finished with its complete output. Returns `None` if this host no longer holds
+    /// the job or the item was already finished.
     pub fn complete(
         &mut self,
         job: &str,
@@ -270,10 +286,10 @@
         progress: ItemProgress,
         now: Instant,
     ) -> Option<FinishedItem> {
-        self.note_stretch(job, index, progress.ran, now);
-        let run =
-            self.run.as_secs_f64() * (1.0 - RUN_WEIGHT) + progress.ran.as_secs_f64() * RUN_WEIGHT;
-        self.run = Duration::from_secs_f64(run);
+        self.record_slowdown(job, index, progress.ran, now);
+        let average = self.average_run_time.as_secs_f64() * (1.0 - SAMPLE_WEIGHT)
+            + progress.ran.as_secs_f64() * SAMPLE_WEIGHT;
+        self.average_run_time = Duration::from_secs_f64(average);
         self.finish(job, index, ItemOutcome::Complete(progress.text))
     }
 
@@ -289,8 +305,10 @@
         Some(FinishedItem { index, outcome, is_saved: entry.saved.is_some() })
     }
 
-    /// A run ended early. The item waits again, or is given up: when a target says that it can never
-    /// be done, or when it has failed as often as its route allows.
+    /// Records that a run ended before the item was complete.
+    ///
+    /// The item waits for another run and `None` is returned, unless it is given up: when a target
+    /// answers that the item can never be processed, or after as many failed runs as its route allows.
     pub fn fail(
         &mut self,
         job: &str,
@@ -301,33 +319,34 @@
     ) -> Option<FinishedItem> {
         let policy = self.policy;
         let held = self.jobs.get_mut(job)?;
-        let most = held.spec.max_attempts;
+        let max_attempts = held.spec.max_attempts;
         let entry = held.items.get_mut(index)?;
         if entry.phase == ItemPhase::Finished {
             return None;
         }
         entry.phase = ItemPhase::Waiting;
-        let has_moved = progress.last_event > entry.begun_after;
+        let has_progressed = progress.last_event > entry.resumed_after;
         entry.progress = progress;
         match failure {
             ItemFailure::GaveWay => {}
             ItemFailure::Impossible => return self.finish(job, index, ItemOutcome::GivenUp),
             ItemFailure::Failed => {
                 entry.failures += 1;
-                entry.not_before = Some(now + policy.failure_pause);
-                if entry.failures >= most {
+                entry.not_before = Some(now + policy.failure_delay);
+                if entry.failures >= max_attempts {
                     return self.finish(job, index, ItemOutcome::GivenUp);
                 }
             }
             ItemFailure::Broken => {
-                entry.breaks = if has_moved { 0 } else { entry.breaks + 1 };
-                entry.not_before = Some(now + policy.pause_after_breaks(entry.breaks));
+                entry.crashes = if has_progressed { 0 } else { entry.crashes + 1 };
+                entry.not_before = Some(now + policy.delay_after_crashes(entry.crashes));
             }
         }
         None
     }
 
-    /// Gives up what may be given up by now; returns each with its job.
+    /// Gives up the waiting items of all jobs past their `give_up` time, and returns each with the
+    /// identifier of its job.
     pub fn drop_expired(&mut self, now: Instant) -> Vec<(Name, FinishedItem)> {
         let mut given_up = Vec::new();
         for (id, job) in self.jobs.iter_mut() {
@@ -348,7 +367,8 @@
     }
 }
 
-fn is_due_to_run(entry: &ItemEntry, now: Instant) -> bool {
+/// Returns whether an item waits and its retry delay, if any, is over.
+fn is_ready(entry: &ItemEntry, now: Instant) -> bool {
     entry.phase == ItemPhase::Waiting && entry.not_before.is_none_or(|at| at <= now)
 }
 
--- a/crates/cuminramp-fleet/src/jobs/checkpoint.rs
+++ b/crates/cuminramp-fleet/src/jobs/checkpoint.rs
@@ -1,4 +1,5 @@
-//! Which progress of items is worth a write, so that a lost host's items go on instead of beginning anew.
+//! Selects the progress of items that is saved to the store, so that the items of a lost host resume
+//! instead of starting over.
 
 use std::time::Duration;
 
@@ -6,7 +7,7 @@
 
 use super::{ItemPhase, ItemProgress, JobTable};
 
-/// What the store has of an item under way.
+/// Progress of an unfinished item that the store has.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SavedProgress {
     last_event: Option<u64>,
@@ -14,34 +15,37 @@
 }
 
 impl SavedProgress {
-    /// The store has exactly this.
+    /// Returns the record of `progress` as saved.
     pub(super) fn of(progress: &ItemProgress) -> Self {
         SavedProgress { last_event: progress.last_event, ran: progress.ran }
     }
 
-    /// Whether the store has anything of the item.
+    /// Returns whether the store has any progress of the item.
     pub(super) fn is_some(&self) -> bool {
         self.last_event.is_some()
     }
 
-    fn lacks(&self, progress: &ItemProgress, least: Duration) -> bool {
-        progress.last_event > self.last_event && progress.ran.saturating_sub(self.ran) >= least
+    /// Returns whether `progress` has newer events than the store and at least `min_run_time` more work
+    /// of a target.
+    fn is_behind(&self, progress: &ItemProgress, min_run_time: Duration) -> bool {
+        progress.last_event > self.last_event
+            && progress.ran.saturating_sub(self.ran) >= min_run_time
     }
 }
 
 /// Progress of one job's items that the store does not have.
 #[derive(Clone, Debug)]
 pub struct UnsavedJob {
-    /// The job.
+    /// Identifier of the job.
     pub job: Name,
-    /// Its team.
+    /// Team of the job.
     pub team: Name,
-    /// Each item's index and identity, and how far it came.
+    /// Index, identifier and progress of each item.
     pub items: Vec<(usize, Name, ItemProgress)>,
 }
 
 impl JobTable {
-    /// Takes note of how far a running item came.
+    /// Records the progress of a running item; ignored for items that are not running.
     pub fn record_progress(&mut self, job: &str, index: usize, progress: &ItemProgress) {
         let entry = self.jobs.get_mut(job).and_then(|job| job.items.get_mut(index));
         if let Some(entry) = entry.filter(|entry| entry.phase == ItemPhase::Running) {
@@ -49,7 +53,8 @@
         }
     }
 
-    /// Items that a lost host would repeat for at least `least` of a target's time, job by job.
+    /// Returns the unfinished items, by job, of which another host would repeat at least `min_run_time`
+    /// of a target's work if this host were lost now.
     ///
     /// ```
     /// use std::time::Duration;
@@ -57,13 +62,14 @@
     /// let table = JobTable::new(JobPolicy::default());
     /// assert!(table.unsaved(Duration::from_millis(500)).is_empty());
     /// ```
-    pub fn unsaved(&self, least: Duration) -> Vec<UnsavedJob> {
+    pub fn unsaved(&self, min_run_time: Duration) -> Vec<UnsavedJob> {
         let mut unsaved = Vec::new();
         for job in self.jobs.values() {
-            let lacking = job.items.iter().enumerate().filter(|(_, entry)| {
-                entry.phase != ItemPhase::Finished && entry.saved.lacks(&entry.progress, least)
+            let to_save = job.items.iter().enumerate().filter(|(_, entry)| {
+                entry.phase != ItemPhase::Finished
+                    && entry.saved.is_behind(&entry.progress, min_run_time)
             });
-            let items: Vec<(usize, Name, ItemProgress)> = lacking
+            let items: Vec<(usize, Name, ItemProgress)> = to_save
                 .map(|(index, entry)| (index, entry.item.id.clone(), entry.progress.clone()))
                 .collect();
             if !items.is_empty() {
@@ -74,7 +80,7 @@
         unsaved
     }
 
-    /// The store has this progress of an item now.
+    /// Records that the store has this progress of an item.
     pub fn mark_saved(&mut self, job: &str, index: usize, progress: &ItemProgress) {
         let entry = self.jobs.get_mut(job).and_then(|job| job.items.get_mut(index));
         if let Some(entry) = entry {
--- a/crates/cuminramp-fleet/src/jobs/item.rs
+++ b/crates/cuminramp-fleet/src/jobs/item.rs
@@ -1,4 +1,4 @@
-//! Jobs and items as they are handed in, run and finished.
+//! Jobs and items as they are submitted, run and finished.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,95 +7,95 @@
 use cuminramp_core::Name;
 use tokio::time::Instant;
 
-/// One item as the caller handed it in.
+/// An item as its caller submitted it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ItemSpec {
-    /// Its identity, unique in its job.
+    /// Identifier, unique within the job.
     pub id: Name,
-    /// The path that targets get.
+    /// Path of the request to the target.
     pub path: Name,
-    /// Headers that targets get.
+    /// Headers of the request to the target.
     pub headers: Vec<(Name, Name)>,
-    /// The body that targets get.
+    /// Body of the request to the target.
     pub body: Bytes,
-    /// Prompt tokens and the most output tokens together.
+    /// Prompt tokens plus the maximum number of output tokens.
     pub tokens: u64,
 }
 
-/// A job as it was accepted.
+/// An accepted job.
 #[derive(Clone, Debug)]
 pub struct JobSpec {
-    /// Its identity.
+    /// Identifier of the job.
     pub id: Name,
-    /// The team that handed it in.
+    /// Team that submitted the job.
     pub team: Name,
-    /// The name of its route.
+    /// Name of the route that the job was submitted to.
     pub route: Name,
-    /// The `Host` header that targets get.
+    /// `Host` header of the requests to targets.
     pub host: Name,
-    /// When results are due.
+    /// Time by which the results are due.
     pub due: Instant,
-    /// When items may be given up.
+    /// Time after which unfinished items may be given up.
     pub give_up: Instant,
-    /// Runs of an item that may fail before it is given up.
+    /// Number of failed runs after which an item is given up.
     pub max_attempts: u32,
-    /// Its items.
+    /// Items of the job.
     pub items: Vec<Arc<ItemSpec>>,
 }
 
-/// How far an item has come on targets that did not finish it.
+/// Partial output of an item from runs that did not complete it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ItemProgress {
-    /// The last whole event that came; `None` before the first.
+    /// Number of the last event that was received completely; `None` before the first.
     pub last_event: Option<u64>,
-    /// The data of all whole events, separated by line feeds.
+    /// Data of all events that were received completely, separated by line feeds.
     pub text: String,
-    /// Time on targets that led to this.
+    /// Time that targets have worked on the item.
     pub ran: Duration,
 }
 
-/// An item to send to a target now.
+/// An item to send to a target, with the progress to resume from.
 #[derive(Clone, Debug)]
 pub struct ItemStart {
-    /// Its job.
+    /// Identifier of the job.
     pub job: Name,
-    /// Its index in the job.
+    /// Index of the item in the job.
     pub index: usize,
     /// The item.
     pub item: Arc<ItemSpec>,
-    /// Where it goes on.
+    /// Progress from which the run resumes.
     pub progress: ItemProgress,
 }
 
-/// How a run of an item ended without an end of the item.
+/// Why a run of an item ended before the item was complete.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ItemFailure {
-    /// It gave way, or no target took it: nothing is held against it.
+    /// The run was preempted, or no target accepted it; neither counts as a failure or a crash.
     GaveWay,
-    /// The connection broke or fell silent while the target worked on it.
+    /// The connection broke or was silent while the target worked on the item; counts as a crash.
     Broken,
     /// The target answered that the run failed.
     Failed,
-    /// The target answered that the item can never be done.
+    /// The target answered that the item can never be processed.
     Impossible,
 }
 
-/// What became of an item.
+/// Final result of an item.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ItemOutcome {
-    /// Its whole output.
+    /// The complete output.
     Complete(String),
-    /// It was given up.
+    /// The item was given up without a complete output.
     GivenUp,
 }
 
-/// An item with its outcome.
+/// A finished item with its outcome.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FinishedItem {
-    /// Its index in the job.
+    /// Index of the item in the job.
     pub index: usize,
-    /// What became of it.
+    /// Final result of the item.
     pub outcome: ItemOutcome,
-    /// Whether the store has a row with its progress, which nobody needs any more.
+    /// Whether the store has a row with the item's progress, which is obsolete now.
     pub is_saved: bool,
 }
--- a/crates/cuminramp-fleet/src/jobs/tests.rs
+++ b/crates/cuminramp-fleet/src/jobs/tests.rs
@@ -41,7 +41,7 @@
     table
 }
 
-fn take(table: &mut JobTable) -> Option<(String, usize, ItemProgress)> {
+fn start_next(table: &mut JobTable) -> Option<(String, usize, ItemProgress)> {
     let start = table.next(|_| true, Instant::now())?;
     Some((start.job.to_string(), start.index, start.progress))
 }
@@ -50,52 +50,54 @@
     ItemProgress { last_event: Some(last), text: "x".into(), ran: Duration::from_secs(1) }
 }
 
-/// Many jobs wait and some can't be done in time any more. Were they served first, those that still
-/// can would be late as well, and every caller would be disappointed.
+/// Many jobs wait and some can no longer finish in time. If their items ran first, the jobs that still
+/// can would be late as well, and every caller would get late results.
 #[tokio::test(start_paused = true)]
-async fn items_that_cannot_be_in_time_wait_behind_those_that_can() {
+async fn late_items_wait_behind_items_that_can_be_in_time() {
     let mut table =
         table(vec![job("late", 3, &["l"]), job("soon", 10, &["s"]), job("far", 20, &["f"])]);
 
-    let order: Vec<String> = std::iter::from_fn(|| take(&mut table)).map(|taken| taken.0).collect();
+    let order: Vec<String> =
+        std::iter::from_fn(|| start_next(&mut table)).map(|started| started.0).collect();
 
     assert_eq!(order, ["soon", "far", "late"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_item_that_gave_way_goes_on_from_its_last_event() {
+async fn a_preempted_item_resumes_from_its_last_event() {
     let mut table = table(vec![job("j", 10, &["a"])]);
-    let first = take(&mut table);
+    let first = start_next(&mut table);
 
     let given_up = table.fail("j", 0, ItemFailure::GaveWay, progress(7), Instant::now());
-    let second = take(&mut table);
+    let second = start_next(&mut table);
 
-    assert_eq!(first.map(|taken| taken.2.last_event), Some(None));
+    assert_eq!(first.map(|started| started.2.last_event), Some(None));
     assert_eq!(given_up, None);
-    assert_eq!(second.map(|taken| taken.2), Some(progress(7)));
+    assert_eq!(second.map(|started| started.2), Some(progress(7)));
 }
 
-/// A scanned page can't be read, whichever target tries. The rest of the job must not wait for it.
+/// An item that no target can process, such as an unreadable scanned page, must not delay the rest of
+/// its job.
 #[tokio::test(start_paused = true)]
-async fn an_item_that_can_never_be_done_ends_with_an_error_of_its_own() {
+async fn an_impossible_item_is_given_up_without_stopping_its_job() {
     let mut table = table(vec![job("j", 10, &["a", "b"])]);
-    take(&mut table);
+    start_next(&mut table);
 
     let given_up =
         table.fail("j", 0, ItemFailure::Impossible, ItemProgress::default(), Instant::now());
 
     let outcome = ItemOutcome::GivenUp;
     assert_eq!(given_up, Some(FinishedItem { index: 0, outcome, is_saved: false }));
-    assert_eq!(take(&mut table).map(|taken| taken.1), Some(1));
+    assert_eq!(start_next(&mut table).map(|started| started.1), Some(1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_item_is_given_up_after_as_many_failures_as_its_route_allows() {
+async fn an_item_is_given_up_after_max_attempts_failures() {
     let mut table = table(vec![job("j", 10, &["a"])]);
 
     let mut outcomes = Vec::new();
     for _ in 0..3 {
-        take(&mut table);
+        start_next(&mut table);
         let end = table.fail("j", 0, ItemFailure::Failed, ItemProgress::default(), Instant::now());
         outcomes.push(end.is_some());
         advance(Duration::from_secs(1)).await;
@@ -104,37 +106,37 @@
     assert_eq!(outcomes, [false, false, true]);
 }
 
-/// One item crashes each target that begins to run it. Sent on at once it would take target after
-/// target down, and online callers with them.
+/// One item crashes each target that starts it. Retried without a delay, it would crash one target
+/// after another and fail the requests of online callers there.
 #[tokio::test(start_paused = true)]
-async fn an_item_at_which_targets_break_is_held_back() {
+async fn an_item_that_crashes_targets_is_delayed() {
     let mut table = table(vec![job("j", 10, &["a"])]);
     for _ in 0..3 {
-        take(&mut table);
+        start_next(&mut table);
         table.fail("j", 0, ItemFailure::Broken, ItemProgress::default(), Instant::now());
         advance(Duration::from_millis(200)).await;
     }
 
-    let soon = take(&mut table);
+    let soon = start_next(&mut table);
     advance(Duration::from_secs(20)).await;
-    let later = take(&mut table);
+    let later = start_next(&mut table);
 
     assert!(soon.is_none());
     assert!(later.is_some());
 }
 
-/// Three targets break under an item for reasons of their own, and the fourth and fifth do as well.
-/// With the same long pause each time the job's last item comes after its caller stopped reading;
-/// without any, an item that does crash targets takes down one after another.
+/// Three targets crash during an item for other reasons, then a fourth and a fifth. With the same long
+/// delay each time, the job's last item would complete after its caller stopped reading; without any
+/// delay, an item that does cause crashes would crash one target after another.
 #[tokio::test(start_paused = true)]
-async fn pauses_of_an_item_at_which_targets_break_begin_short_and_grow() {
+async fn crash_delays_start_short_and_grow() {
     let mut table = table(vec![job("j", 10, &["a"])]);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut starts = Vec::new();
 
     while starts.len() < 7 {
-        if take(&mut table).is_some() {
-            starts.push(began.elapsed().as_millis() / 100);
+        if start_next(&mut table).is_some() {
+            starts.push(started_at.elapsed().as_millis() / 100);
             table.fail("j", 0, ItemFailure::Broken, ItemProgress::default(), Instant::now());
         }
         advance(Duration::from_millis(50)).await;
@@ -144,7 +146,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn old_items_are_given_up_and_their_tokens_no_longer_wait() {
+async fn expired_items_are_given_up_and_their_tokens_released() {
     let mut table = table(vec![job("j", 10, &["a", "b"])]);
     assert_eq!(table.get("j").map(|job| job.unfinished_tokens()), Some(20));
 
@@ -159,44 +161,45 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_taken_over_leaves_out_what_is_finished() {
+async fn a_job_taken_over_skips_finished_items_and_resumes_others() {
     let mut table = JobTable::new(JobPolicy::default());
     let known = vec![("b".into(), progress(4))];
 
     table.add(job("j", 10, &["a", "b"]), &["a".into()], known);
 
-    assert_eq!(take(&mut table), Some(("j".into(), 1, progress(4))));
-    assert!(take(&mut table).is_none());
+    assert_eq!(start_next(&mut table), Some(("j".into(), 1, progress(4))));
+    assert!(start_next(&mut table).is_none());
 }
 
-/// A host is killed while its items run. What the store has goes on elsewhere; a write for each event
-/// would take the store's room from results, so only progress worth one is named, and once.
+/// A host is killed while its items run, and other hosts resume from the progress in the store. A write
+/// for each event would use up the store's capacity for results, so progress is listed only from a
+/// minimum run time on, and once.
 #[tokio::test(start_paused = true)]
-async fn progress_is_named_for_saving_once_it_is_worth_a_write() {
-    let least = Duration::from_millis(600);
+async fn progress_is_listed_for_saving_once_it_reaches_the_minimum() {
+    let min_run_time = Duration::from_millis(600);
     let mut table = table(vec![job("j", 20, &["a", "b"])]);
-    take(&mut table);
-    take(&mut table);
+    start_next(&mut table);
+    start_next(&mut table);
     let little = ItemProgress { ran: Duration::from_millis(100), ..progress(5) };
     table.record_progress("j", 0, &progress(40));
     table.record_progress("j", 1, &little);
 
-    let first = table.unsaved(least);
+    let first = table.unsaved(min_run_time);
     table.mark_saved("j", 0, &progress(40));
-    let second = table.unsaved(least);
+    let second = table.unsaved(min_run_time);
 
-    let named: Vec<usize> = first[0].items.iter().map(|item| item.0).collect();
-    assert_eq!(named, [0]);
+    let listed: Vec<usize> = first[0].items.iter().map(|item| item.0).collect();
+    assert_eq!(listed, [0]);
     assert!(second.is_empty(), "{second:?}");
 }
 
-/// The row with an item's progress is of no use once the item is listed. Left there it would cost the
-/// store's room for good.
+/// The row with an item's progress is obsolete once the item is finished. If it weren't deleted, it would
+/// occupy space in the store permanently.
 #[tokio::test(start_paused = true)]
-async fn a_finished_item_says_whether_its_progress_was_saved() {
+async fn a_finished_item_reports_whether_its_progress_was_saved() {
     let mut table = table(vec![job("j", 20, &["a", "b"])]);
-    take(&mut table);
-    take(&mut table);
+    start_next(&mut table);
+    start_next(&mut table);
     table.mark_saved("j", 0, &progress(40));
 
     let saved = table.complete("j", 0, progress(50), Instant::now()).unwrap();
@@ -205,32 +208,32 @@
     assert!(saved.is_saved && !unsaved.is_saved);
 }
 
-/// Items give way to callers at each crest, so one that a target works on for a second is there for
-/// two. One with just too little time for that would go first and be late all the same, and so would
-/// the one behind it.
+/// Callers preempt items at each peak, so an item with one second of run time takes two seconds. An item
+/// with slightly too little time for that would run first and still be late, and so would the one
+/// behind it.
 #[tokio::test(start_paused = true)]
-async fn an_item_without_time_for_giving_way_waits_behind_one_that_has_it() {
-    let mut table = table(vec![job("seen", 60, &["a", "b", "c", "d", "e", "f", "g", "h"])]);
+async fn an_item_without_time_for_preemption_waits_behind_one_with_it() {
+    let mut table = table(vec![job("measured", 60, &["a", "b", "c", "d", "e", "f", "g", "h"])]);
     for index in 0..8 {
-        take(&mut table);
+        start_next(&mut table);
         advance(Duration::from_secs(10)).await;
         let ran = ItemProgress { ran: Duration::from_secs(5), ..progress(9) };
-        table.complete("seen", index, ran, Instant::now());
+        table.complete("measured", index, ran, Instant::now());
     }
-    table.add(job("brink", 6, &["x"]), &[], vec![]);
-    table.add(job("time", 15, &["y"]), &[], vec![]);
+    table.add(job("less", 6, &["x"]), &[], vec![]);
+    table.add(job("more", 15, &["y"]), &[], vec![]);
 
     let demand = table.demand(|_| true, Instant::now());
-    let first = take(&mut table).map(|taken| taken.0);
+    let first = start_next(&mut table).map(|started| started.0);
 
-    assert_eq!(first.as_deref(), Some("time"));
+    assert_eq!(first.as_deref(), Some("more"));
     assert_eq!(demand.iter().map(|group| group.is_late).collect::<Vec<_>>(), [false, true]);
 }
 
-/// A host that holds hundreds of jobs tells of the most urgent ones. A heartbeat with all of them would be
-/// larger than receivers take, and its host would seem silent.
+/// A host that holds hundreds of jobs reports groups for the most urgent ones only. A heartbeat with all of
+/// them would exceed the size that receivers accept, and the host would appear silent.
 #[tokio::test(start_paused = true)]
-async fn demand_stays_short_however_many_jobs_wait() {
+async fn demand_is_limited_to_max_demand_groups() {
     let jobs = (0..50).map(|index| job(&format!("j{index}"), 20 + index, &["a", "b"])).collect();
     let table = table(jobs);
 
