--- a/crates/cuminramp-fleet/src/declarations.rs
+++ b/crates/cuminramp-fleet/src/declarations.rs
@@ -1,4 +1,4 @@
-//! Routes, pools, teams and keys in force.
+//! Declared routes, pools, teams and keys, and the version in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,65 +7,66 @@
 
 use crate::placement::ColdRule;
 
-/// What may be repeated of a route's requests.
+/// Whether the requests of a route may run more than once, and how they are answered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteKind {
     /// Requests may run more than once.
     Idempotent,
     /// Requests run at most once.
     Once,
-    /// Answers are event streams; they run at most once unless they can be resumed.
+    /// Answers are event streams; requests run at most once unless the route's streams are resumable.
     Stream,
-    /// Batch jobs, handed in whole.
+    /// Requests submit batch jobs.
     Batch,
 }
 
-/// A pool and how large a part of a route's requests goes there.
+/// A pool and its share of a route's requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PoolShare {
-    /// The pool.
+    /// Name of the pool.
     pub pool: Name,
-    /// Its weight among the route's pools.
+    /// Weight of the pool among the route's pools.
     pub weight: u32,
 }
 
-/// One route.
+/// A declared route.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RouteRule {
-    /// Its name.
+    /// Name of the route.
     pub name: Name,
-    /// The `Host` header that it answers to.
+    /// `Host` header that requests must have.
     pub host: Name,
-    /// What paths begin with; begins and ends with a slash.
+    /// Prefix that paths must have; begins and ends with a slash.
     pub prefix: Name,
-    /// What may be repeated.
+    /// Whether requests may run more than once.
     pub kind: RouteKind,
-    /// Pools behind it.
+    /// Pools whose targets serve the route.
     pub pools: Vec<PoolShare>,
-    /// The longest time that a caller is kept waiting.
+    /// Timeout after which a caller receives its final answer.
     pub timeout: Duration,
-    /// Time to the answer, or a stream's first event, for full credit.
+    /// Latency objective: maximum time to the answer, or to a stream's first event, that counts as on
+    /// time.
     pub objective: Duration,
-    /// The longest pause between two events that is still on time.
+    /// Maximum time between two events of a stream that counts as on time.
     pub gap: Option<Duration>,
-    /// Targets that one attempt of a caller may be sent to.
+    /// Maximum number of targets that may run one attempt of a caller.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub is_public: bool,
-    /// Whether a stream can go on at another target.
+    /// Whether a stream can be resumed at another target.
     pub is_resumable: bool,
-    /// How long after its first send a job's results are due.
+    /// Time from a job's first submission until its results are due.
     pub due: Duration,
-    /// How long after its first send an item may be given up.
+    /// Time from a job's first submission until its unfinished items may be given up.
     pub keep: Duration,
-    /// Tokens that a team may have waiting; 0 means no limit.
+    /// Maximum number of tokens in a team's unfinished items on the route; 0 means no limit.
     pub waiting_tokens: u64,
-    /// Regions in which its requests may run; all where none is named.
+    /// Home regions: the regions in which the route's requests may run. Empty means all.
     pub homes: Vec<Name>,
 }
 
 impl RouteRule {
-    /// Whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent | RouteKind::Batch => true,
@@ -74,60 +75,61 @@
         }
     }
 
-    /// The pool for a request, by a number that spreads requests.
+    /// Returns the pool for a request. Evenly distributed values of `spread` distribute requests over
+    /// the pools by weight; if all weights are 0, the first pool is used.
     pub fn pick_pool(&self, spread: u64) -> Option<&Name> {
         let total: u64 = self.pools.iter().map(|share| u64::from(share.weight)).sum();
         if total == 0 {
             return self.pools.first().map(|share| &share.pool);
         }
-        let mut left = spread % total;
+        let mut remaining = spread % total;
         for share in &self.pools {
             let weight = u64::from(share.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&share.pool);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
 }
 
-/// One pool of targets.
+/// A declared pool of targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolRule {
-    /// Its name.
+    /// Name of the pool.
     pub name: Name,
-    /// Connections that a target takes from all hosts together.
+    /// Maximum number of connections that a target accepts, over all hosts.
     pub max_connections: u32,
-    /// What its targets bear while they are cold.
+    /// Rate limit of cold targets and duration of their slow start.
     pub cold: ColdRule,
 }
 
-/// One team.
+/// A declared team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamRule {
-    /// Its name.
+    /// Name of the team.
     pub name: Name,
-    /// Keys of its callers.
+    /// Keys of the team's callers.
     pub keys: Vec<Name>,
-    /// Requests a second over all hosts; 0 means no limit.
+    /// Rate limit in requests per second, over all hosts; 0 means no limit.
     pub rate: f64,
-    /// Requests at once over all hosts.
+    /// Maximum burst in requests, over all hosts.
     pub burst: f64,
-    /// Regions in which its requests may run; all where none is named.
+    /// Home regions: the regions in which the team's requests may run. Empty means all.
     pub homes: Vec<Name>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Until the head of a request is whole.
+    /// Timeout for receiving the complete head of a request.
     pub head_timeout: Duration,
-    /// How long a connection may stay idle.
+    /// Timeout after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
@@ -142,7 +144,7 @@
     }
 }
 
-/// Everything that operators declare, of one version.
+/// One version of everything that operators declare.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetDeclarations {
     version: u64,
@@ -155,7 +157,7 @@
 }
 
 impl FleetDeclarations {
-    /// Indexes what was declared.
+    /// Returns the declarations, indexed for lookups.
     ///
     /// ```
     /// use cuminramp_fleet::{CallerLimits, FleetDeclarations};
@@ -171,63 +173,64 @@
         pools: Vec<PoolRule>,
         teams: Vec<TeamRule>,
     ) -> Self {
-        let mut by_host: SortedMap<Name, Vec<RouteRule>> = SortedMap::new();
+        let mut routes_by_host: SortedMap<Name, Vec<RouteRule>> = SortedMap::new();
         for route in routes {
-            by_host.get_or_insert_with(route.host.clone(), Vec::new).push(route);
+            routes_by_host.get_or_insert_with(route.host.clone(), Vec::new).push(route);
         }
-        for (_, rules) in by_host.iter_mut() {
+        for (_, rules) in routes_by_host.iter_mut() {
             rules.sort_by_key(|rule| std::cmp::Reverse(rule.prefix.len()));
         }
-        let owners = teams
+        let teams_by_key = teams
             .iter()
             .flat_map(|team| team.keys.iter().map(|key| (key.clone(), team.name.clone())));
         FleetDeclarations {
             version,
             limits,
-            routes: by_host,
-            keys: owners.collect(),
+            routes: routes_by_host,
+            keys: teams_by_key.collect(),
             has_teams: !teams.is_empty(),
             pools: pools.into_iter().map(|pool| (pool.name.clone(), pool)).collect(),
             teams: teams.into_iter().map(|team| (team.name.clone(), team)).collect(),
         }
     }
 
-    /// The operators' number of this version.
+    /// Returns the version number that operators gave these declarations.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What callers may send.
+    /// Returns the limits on callers' requests.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// Whether requests need keys at all.
+    /// Returns whether any team is declared; without teams, no request needs a key.
     pub fn has_teams(&self) -> bool {
         self.has_teams
     }
 
-    /// The route with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&RouteRule> {
         self.routes.get(host)?.iter().find(|rule| path.starts_with(&*rule.prefix))
     }
 
-    /// The team that holds a key.
+    /// Returns the team that a key belongs to.
     pub fn find_team(&self, key: &str) -> Option<&TeamRule> {
         self.teams.get(&**self.keys.get(key)?)
     }
 
-    /// A team by its name.
+    /// Returns a team by its name.
     pub fn team(&self, name: &str) -> Option<&TeamRule> {
         self.teams.get(name)
     }
 
-    /// What cold targets of each pool bear.
+    /// Returns the slow start rules of all pools, by the pool's name.
     pub fn cold_rules(&self) -> SortedMap<Name, ColdRule> {
         self.pools.iter().map(|(name, pool)| (name.clone(), pool.cold)).collect()
     }
 
-    /// Regions in which requests for a host name may run; none where a route of it names no homes.
+    /// Returns the home regions of all routes of a host name. Empty, which means all regions, if any of
+    /// the routes declares none.
     pub fn homes_of(&self, host: &str) -> Vec<Name> {
         let routes = self.routes.get(host).map_or(&[][..], Vec::as_slice);
         if routes.iter().any(|route| route.homes.is_empty()) {
@@ -239,23 +242,24 @@
         homes
     }
 
-    /// All teams in the order of their names.
+    /// Returns all teams, ordered by name.
     pub fn teams(&self) -> impl Iterator<Item = &TeamRule> {
         self.teams.values()
     }
 }
 
-/// The declarations in force; they never go back to an earlier version.
+/// Holds the declarations in force, and never replaces them by an earlier version.
 #[derive(Debug, Default)]
 pub struct DeclarationStore {
     current: Option<Arc<FleetDeclarations>>,
 }
 
 impl DeclarationStore {
-    /// Takes a version if it is later than the one in force; says whether it did.
+    /// Puts a version into force if it is later than the current one; returns whether it was.
     ///
-    /// An answer of the store may come from before an earlier one, and a host that was cut off may
-    /// pass on what it knew then. Callers would notice a route or key that is gone again.
+    /// Reads of the store may return out of order, and a host that was cut off may pass on the version
+    /// from before. If an earlier version replaced a later one, routes and keys that callers already
+    /// use would disappear.
     pub fn offer(&mut self, offered: Arc<FleetDeclarations>) -> bool {
         let is_later = self.current.as_ref().is_none_or(|held| held.version < offered.version);
         if is_later {
@@ -264,7 +268,7 @@
         is_later
     }
 
-    /// What is in force; `None` until the first version is known.
+    /// Returns the declarations in force; `None` until the first version was received.
     pub fn current(&self) -> Option<&Arc<FleetDeclarations>> {
         self.current.as_ref()
     }
--- a/crates/cuminramp-fleet/src/declarations/tests.rs
+++ b/crates/cuminramp-fleet/src/declarations/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins() {
+fn the_route_with_the_longest_prefix_is_found() {
     let declarations = declared(1);
 
     let found = declarations.find_route("a.example", "/a/b/c").map(|rule| rule.prefix.clone());
@@ -49,28 +49,28 @@
 }
 
 #[test]
-fn a_key_names_its_team_only() {
+fn a_key_finds_its_own_team() {
     let declarations = declared(1);
 
     assert_eq!(declarations.find_team("k1").map(|team| &*team.name), Some("parish"));
     assert!(declarations.find_team("k2").is_none());
 }
 
-/// A host that was cut off passes on the version it had, or an answer of the store overtakes a
-/// later one. A caller would find that a route which had worked is gone again.
+/// A host that was cut off passes on an old version, or reads of the store return out of order. If the
+/// earlier version were applied, a route that callers already use would disappear.
 #[test]
-fn an_earlier_version_is_never_taken_again() {
+fn an_earlier_version_never_replaces_a_later_one() {
     let mut store = DeclarationStore::default();
 
-    let taken: Vec<bool> =
+    let applied: Vec<bool> =
         [5, 3, 5, 9].into_iter().map(|version| store.offer(Arc::new(declared(version)))).collect();
 
-    assert_eq!(taken, [true, false, false, true]);
+    assert_eq!(applied, [true, false, false, true]);
     assert_eq!(store.current().map(|held| held.version()), Some(9));
 }
 
 #[test]
-fn pools_get_requests_by_their_weights() {
+fn requests_are_distributed_over_pools_by_weight() {
     let mut rule = route("/a/");
     rule.pools =
         vec![PoolShare { pool: "p".into(), weight: 9 }, PoolShare { pool: "q".into(), weight: 1 }];
