--- a/crates/cuminramp-fleet/src/acceptance.rs
+++ b/crates/cuminramp-fleet/src/acceptance.rs
@@ -1,64 +1,63 @@
-//! What follows each try to make a job durable.
+//! Decides the next step after each attempt to make a submitted job durable.
 //!
-//! A write whose answer is lost may take effect seconds later, as long as its condition still holds.
-//! Until the job's row is seen, nothing can be said of the job but that it may have been accepted.
+//! A write whose response is lost may still be applied seconds later if its condition holds then. Until
+//! the job's row is read, the outcome is unknown: the job may have been accepted.
 
-/// What the table says of a job that is being handed in.
+/// The row of a submitted job, as last read from the table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FoundJob {
-    /// No row of it was seen.
+    /// No row of the job was read.
     Missing,
-    /// The row that this call writes.
+    /// This call wrote the row.
     Own,
-    /// A row that another call wrote, here or at another host.
+    /// Another call wrote the row, at this host or at another one.
     Others,
 }
 
-/// What is known before a step.
+/// State of a submission from which the next step is decided.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptanceView {
-    /// The job's row.
+    /// The job's row in the table.
     pub found: FoundJob,
-    /// Tokens of unfinished items that the team has on the route, this job's included once its row
-    /// is seen.
+    /// Tokens of the team's unfinished items on the route. Includes this job's once its row was read.
     pub waiting: u64,
     /// Tokens of this job.
     pub tokens: u64,
-    /// How many may wait; 0 where there is no limit.
+    /// Maximum number of waiting tokens, this job's included; 0 means no limit.
     pub limit: u64,
-    /// The table was read after the last write of this call.
+    /// Whether the table was read after the last write of this call.
     pub is_fresh: bool,
-    /// A write of this call may still take effect.
+    /// Whether a write of this call may still be applied.
     pub is_unsettled: bool,
-    /// The caller will not wait for another try.
+    /// Whether there is no time left for another attempt before the caller stops waiting.
     pub is_time_up: bool,
 }
 
-/// What to do next.
+/// Next step of a submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AcceptanceStep {
-    /// The job is durable by this call.
+    /// Answer that the job is accepted: this call made it durable.
     Accepted,
-    /// The job is durable by another call.
+    /// Answer that the job was already accepted: another call made it durable.
     Repeated,
-    /// Read the table, and decide again.
+    /// Read the table, then decide again.
     Refresh,
     /// Write the job's row.
     Write,
-    /// Refuse it for want of room: it was not run and never will be.
+    /// Refuse the job because the limit is reached: it was not run and never will be.
     RefuseFull,
-    /// Refuse it, since the table could not be written: it was not run and never will be.
+    /// Refuse the job because the table could not be read or written: it was not run and never will be.
     RefuseUnavailable,
-    /// Say that it may have been accepted.
+    /// Answer that the outcome is unknown: the job may have been accepted.
     LeaveOpen,
 }
 
 impl AcceptanceView {
-    /// Decides what follows.
+    /// Returns the next step.
     ///
-    /// The job's own row comes first: counted as the work of others it would take the room from
-    /// itself, and a job that runs would be called "not run". The caller notices that the same
-    /// work, handed in again under another name, is done twice.
+    /// The job's own row is checked first. Counted in `waiting` as if it were other work, it would use
+    /// up the capacity that the job itself needs, and a job that runs would be refused as "not run".
+    /// A caller that then submits the same work under another name would get it done twice.
     ///
     /// ```
     /// use cuminramp_fleet::{AcceptanceStep, AcceptanceView, FoundJob};
@@ -82,23 +81,25 @@
             FoundJob::Missing => {}
         }
         if self.is_time_up {
-            return self.give_up(AcceptanceStep::RefuseUnavailable);
+            return self.refuse_or_leave_open(AcceptanceStep::RefuseUnavailable);
         }
-        let has_room = self.limit == 0 || self.waiting + self.tokens <= self.limit;
-        match (has_room, self.is_fresh) {
+        let has_capacity = self.limit == 0 || self.waiting + self.tokens <= self.limit;
+        match (has_capacity, self.is_fresh) {
             (true, _) => AcceptanceStep::Write,
-            // What is known may be a moment old; the table is asked before anything is refused.
+            // The last read may be out of date, so the table is read again before a job is refused.
             (false, false) => AcceptanceStep::Refresh,
-            (false, true) => self.give_up(AcceptanceStep::RefuseFull),
+            (false, true) => self.refuse_or_leave_open(AcceptanceStep::RefuseFull),
         }
     }
 
-    /// What becomes of the call when the table can't be read.
+    /// Returns the next step after the table could not be read.
     pub fn after_failed_read(&self) -> AcceptanceStep {
-        self.give_up(AcceptanceStep::RefuseUnavailable)
+        self.refuse_or_leave_open(AcceptanceStep::RefuseUnavailable)
     }
 
-    fn give_up(&self, refusal: AcceptanceStep) -> AcceptanceStep {
+    /// Returns `refusal`, unless a pending write may still be applied: a refusal promises that the job
+    /// never runs.
+    fn refuse_or_leave_open(&self, refusal: AcceptanceStep) -> AcceptanceStep {
         if self.is_unsettled { AcceptanceStep::LeaveOpen } else { refusal }
     }
 }
--- a/crates/cuminramp-fleet/src/acceptance/tests.rs
+++ b/crates/cuminramp-fleet/src/acceptance/tests.rs
@@ -14,23 +14,26 @@
     }
 }
 
-#[test_case(AcceptanceView { ..view() }, AcceptanceStep::Write; "there is room")]
+#[test_case(AcceptanceView { ..view() }, AcceptanceStep::Write; "below the limit")]
 #[test_case(AcceptanceView { waiting: 9_000, limit: 0, ..view() }, AcceptanceStep::Write; "no limit")]
-#[test_case(AcceptanceView { waiting: 600, ..view() }, AcceptanceStep::Refresh; "no room by old news")]
-#[test_case(AcceptanceView { waiting: 600, is_fresh: true, ..view() }, AcceptanceStep::RefuseFull; "no room")]
-#[test_case(AcceptanceView { is_time_up: true, ..view() }, AcceptanceStep::RefuseUnavailable; "time is up")]
-#[test_case(AcceptanceView { found: FoundJob::Others, ..view() }, AcceptanceStep::Repeated; "another call was first")]
-fn settled_views(view: AcceptanceView, expected: AcceptanceStep) {
+#[test_case(AcceptanceView { waiting: 600, ..view() }, AcceptanceStep::Refresh; "above the limit by an old read")]
+#[test_case(AcceptanceView { waiting: 600, is_fresh: true, ..view() }, AcceptanceStep::RefuseFull; "above the limit")]
+#[test_case(AcceptanceView { is_time_up: true, ..view() }, AcceptanceStep::RefuseUnavailable; "no time left")]
+#[test_case(AcceptanceView { found: FoundJob::Others, ..view() }, AcceptanceStep::Repeated; "accepted by another call")]
+fn a_view_without_pending_writes_decides_the_next_step(
+    view: AcceptanceView,
+    expected: AcceptanceStep,
+) {
     let step = view.next_step();
 
     assert_eq!(step, expected);
 }
 
-/// The answer to a write is lost, and the write takes effect after the host looked for it. Its own
-/// row then fills the room that it asks for, or is seen only when the time is up.
-#[test_case(AcceptanceView { waiting: 600, is_fresh: true, ..view() }; "there is no room beside itself")]
-#[test_case(AcceptanceView { is_time_up: true, ..view() }; "the time is up")]
-fn a_job_whose_row_is_seen_is_accepted(view: AcceptanceView) {
+/// The response to a write is lost, and the write is applied after the host read the table. The job's own
+/// row then uses up the capacity that the job needs, or is read only when no time is left.
+#[test_case(AcceptanceView { waiting: 600, is_fresh: true, ..view() }; "above the limit with its own row")]
+#[test_case(AcceptanceView { is_time_up: true, ..view() }; "no time left")]
+fn a_job_whose_own_row_is_read_is_accepted(view: AcceptanceView) {
     let view = AcceptanceView { found: FoundJob::Own, is_unsettled: true, ..view };
 
     let step = view.next_step();
@@ -38,11 +41,11 @@
     assert_eq!(step, AcceptanceStep::Accepted);
 }
 
-/// A write may still take effect when the host gives up, whichever reason it has. A refusal promises
-/// that nothing of the job ever runs.
-#[test_case(AcceptanceView { waiting: 600, is_fresh: true, ..view() }; "there is no room")]
-#[test_case(AcceptanceView { is_time_up: true, ..view() }; "the time is up")]
-fn nothing_is_promised_while_a_write_may_take_effect(view: AcceptanceView) {
+/// A write may still be applied after the host gave up, for any reason. A refusal promises that no item of
+/// the job ever runs.
+#[test_case(AcceptanceView { waiting: 600, is_fresh: true, ..view() }; "above the limit")]
+#[test_case(AcceptanceView { is_time_up: true, ..view() }; "no time left")]
+fn no_refusal_is_sent_while_a_write_may_be_applied(view: AcceptanceView) {
     let view = AcceptanceView { is_unsettled: true, ..view };
 
     let steps = [view.next_step(), view.after_failed_read()];
