--- a/crates/cuminramp-fleet/src/jobs.rs
+++ b/crates/cuminramp-fleet/src/jobs.rs
@@ -155,12 +155,17 @@
         }
     }
 
-    /// Adds a job that this host now holds. `finished` lists the items that are already done, `known`
+    /// Adds a job that this host now holds. `finished` lists the items that are already done, `partial`
     /// the progress of others.
-    pub fn add(&mut self, spec: JobSpec, finished: &[Name], mut known: Vec<(Name, ItemProgress)>) {
+    pub fn add(
+        &mut self,
+        spec: JobSpec,
+        finished: &[Name],
+        mut partial: Vec<(Name, ItemProgress)>,
+    ) {
         let entry = |item: &Arc<ItemSpec>| {
-            let at = known.iter().position(|(id, _)| *id == item.id);
-            let progress = at.map(|at| known.swap_remove(at).1).unwrap_or_default();
+            let at = partial.iter().position(|(id, _)| *id == item.id);
+            let progress = at.map(|at| partial.swap_remove(at).1).unwrap_or_default();
             let is_finished = finished.contains(&item.id);
             ItemEntry {
                 item: item.clone(),
--- a/crates/cuminramp-fleet/src/jobs/tests.rs
+++ b/crates/cuminramp-fleet/src/jobs/tests.rs
@@ -163,9 +163,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_job_taken_over_skips_finished_items_and_resumes_others() {
     let mut table = JobTable::new(JobPolicy::default());
-    let known = vec![("b".into(), progress(4))];
+    let partial = vec![("b".into(), progress(4))];
 
-    table.add(job("j", 10, &["a", "b"]), &["a".into()], known);
+    table.add(job("j", 10, &["a", "b"]), &["a".into()], partial);
 
     assert_eq!(start_next(&mut table), Some(("j".into(), 1, progress(4))));
     assert!(start_next(&mut table).is_none());
