--- a/crates/cuminramp-gateway/src/online/mod.rs
+++ b/crates/cuminramp-gateway/src/online/mod.rs
@@ -1,4 +1,4 @@
-//! Requests of callers that wait: from admission to the end of the answer.
+//! Online requests, from admission to the end of the answer.
 
 mod record;
 mod relay;
--- a/crates/cuminramp-gateway/src/online/record.rs
+++ b/crates/cuminramp-gateway/src/online/record.rs
@@ -1,4 +1,4 @@
-//! What is logged and counted of a request.
+//! Log line and metrics of an online request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,49 +13,50 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum RequestOutcome {
-    /// The caller got the whole answer.
+    /// The caller got the complete answer.
     Answered,
-    /// The caller got a target's failure.
+    /// The caller got a target's failure as the answer.
     TargetFailed,
-    /// The stream broke off and could not be resumed.
-    BrokenOff,
-    /// The caller left.
+    /// The stream was interrupted and could not be resumed.
+    StreamBroken,
+    /// The caller closed the connection.
     CallerLeft,
 }
 
 impl RequestOutcome {
-    fn word(self) -> &'static str {
+    /// Returns the label in logs and metrics.
+    fn as_str(self) -> &'static str {
         match self {
             RequestOutcome::Answered => "answered",
             RequestOutcome::TargetFailed => "target-failed",
-            RequestOutcome::BrokenOff => "broken-off",
+            RequestOutcome::StreamBroken => "broken-off",
             RequestOutcome::CallerLeft => "caller-left",
         }
     }
 }
 
-/// One line for each request, written when it ends, however it ends.
+/// Collects the log line of one request, and writes it when the request ends, however it ends.
 pub(crate) struct RequestRecord {
     state: Arc<GatewayState>,
     request_id: Name,
     route: Name,
     team: Name,
     declarations: u64,
-    began: Instant,
+    started: Instant,
     first_event: Option<Duration>,
     sends: u32,
     target: Option<Name>,
     placed_by: Option<PlacedBy>,
-    /// Time that the search for slots took.
-    placing: Duration,
+    /// Total time of the searches for slots.
+    placement_time: Duration,
     outcome: Option<RequestOutcome>,
-    is_written: bool,
-    /// A host that leaves waits for it.
-    _held: TaskTrackerToken,
+    is_logged: bool,
+    /// Keeps a leaving host running until the request ends.
+    _task_token: TaskTrackerToken,
 }
 
 impl RequestRecord {
-    /// A request that was admitted under declarations of this version.
+    /// Starts the record of a request that was admitted under version `declarations` of the declarations.
     pub(crate) fn new(
         state: &Arc<GatewayState>,
         request_id: Option<&Name>,
@@ -70,53 +71,53 @@
             route: route.clone(),
             team: team.cloned().unwrap_or_else(none),
             declarations,
-            began: Instant::now(),
+            started: Instant::now(),
             first_event: None,
             sends: 0,
             target: None,
             placed_by: None,
-            placing: Duration::ZERO,
+            placement_time: Duration::ZERO,
             outcome: None,
-            is_written: false,
-            _held: state.tasks.token(),
+            is_logged: false,
+            _task_token: state.tasks.token(),
         }
     }
 
-    /// When the request came.
-    pub(crate) fn began(&self) -> Instant {
-        self.began
+    /// Returns when the request was admitted.
+    pub(crate) fn started(&self) -> Instant {
+        self.started
     }
 
-    /// A slot was searched for, and chosen or not.
-    pub(crate) fn note_place(&mut self, placed_by: PlacedBy, took: Duration) {
+    /// Records a search for a slot, whether or not it found one.
+    pub(crate) fn record_placement(&mut self, placed_by: PlacedBy, elapsed: Duration) {
         self.placed_by = Some(placed_by);
-        self.placing += took;
-        self.state.metrics.note_placement(placed_by.word(), took);
+        self.placement_time += elapsed;
+        self.state.metrics.note_placement(placed_by.word(), elapsed);
     }
 
-    /// It was sent to a target.
-    pub(crate) fn note_send(&mut self, target: &Name) {
+    /// Records a send to a target.
+    pub(crate) fn record_send(&mut self, target: &Name) {
         self.sends += 1;
         self.target = Some(target.clone());
     }
 
-    /// Whether a target may have it.
+    /// Returns whether the request was sent to any target.
     pub(crate) fn has_sent(&self) -> bool {
         self.sends > 0
     }
 
-    /// A send brought no answer to use; one line with what decided the next step.
-    pub(crate) fn note_failure(&self, failure: &str, detail: &str, next: &str) {
+    /// Logs a failed send, with the failure and the next step.
+    pub(crate) fn record_failure(&self, failure: &str, detail: &str, next: &str) {
         log::info!(
             request_id = &*self.request_id, target_id = self.target.as_deref().unwrap_or("-"),
             failure = failure, detail = detail, sends = self.sends,
-            after_ms = self.began.elapsed().as_millis() as u64, next = next;
+            after_ms = self.started.elapsed().as_millis() as u64, next = next;
             "attempt-failed"
         );
     }
 
-    /// A target broke under it.
-    pub(crate) fn note_crash(&self, fingerprint: u64, crashes: u32) {
+    /// Logs that a target crashed while it ran the request, and the request's crash count.
+    pub(crate) fn record_crash(&self, fingerprint: u64, crashes: u32) {
         log::warn!(
             request_id = &*self.request_id, target_id = self.target.as_deref().unwrap_or("-"),
             fingerprint = fingerprint, crashes = crashes;
@@ -124,34 +125,34 @@
         );
     }
 
-    /// The first event went to the caller.
-    pub(crate) fn note_first_event(&mut self) {
+    /// Records that an event is passed on to the caller; only the first one counts.
+    pub(crate) fn record_first_event(&mut self) {
         if self.first_event.is_none() {
-            let time = self.began.elapsed();
-            self.first_event = Some(time);
-            self.state.metrics.note_first_event(time);
+            let elapsed = self.started.elapsed();
+            self.first_event = Some(elapsed);
+            self.state.metrics.note_first_event(elapsed);
         }
     }
 
-    /// It ended so.
+    /// Records the outcome; the log line is written on drop.
     pub(crate) fn end(&mut self, outcome: RequestOutcome) {
         self.outcome = Some(outcome);
     }
 
-    /// It was refused.
+    /// Logs and counts the request as refused.
     pub(crate) fn end_refused(&mut self, refusal: &Refusal) {
-        self.is_written = true;
+        self.is_logged = true;
         self.state.metrics.count_request("refused");
         log::info!(
             request_id = &*self.request_id, route = &*self.route, team = &*self.team,
             declarations = self.declarations, sends = self.sends,
             target_id = self.target.as_deref().unwrap_or("-"),
             placed_by = self.placed_by.map_or("-", PlacedBy::word),
-            placing_us = self.placing.as_micros() as u64,
+            placing_us = self.placement_time.as_micros() as u64,
             code = refusal.code.number(), name = refusal.code.name(),
             execution = refusal.execution.as_str(),
-            retry_after_ms = refusal.retry_after.map_or(0, |after| after.as_millis() as u64),
-            reason = refusal.message.as_str(), took_ms = self.began.elapsed().as_millis() as u64;
+            retry_after_ms = refusal.retry_after.map_or(0, |delay| delay.as_millis() as u64),
+            reason = refusal.message.as_str(), took_ms = self.started.elapsed().as_millis() as u64;
             "request-refused"
         );
     }
@@ -159,22 +160,22 @@
 
 impl Drop for RequestRecord {
     fn drop(&mut self) {
-        if self.is_written {
+        if self.is_logged {
             return;
         }
-        // Dropped without an end: the caller closed the connection, which drops the answer.
+        // Without an outcome, the answer was dropped because the caller closed the connection.
         let outcome = self.outcome.unwrap_or(RequestOutcome::CallerLeft);
-        let took = self.began.elapsed();
-        self.state.metrics.count_request(outcome.word());
-        self.state.metrics.note_answer(took);
+        let elapsed = self.started.elapsed();
+        self.state.metrics.count_request(outcome.as_str());
+        self.state.metrics.note_answer(elapsed);
         log::info!(
             request_id = &*self.request_id, route = &*self.route, team = &*self.team,
             declarations = self.declarations, sends = self.sends,
             target_id = self.target.as_deref().unwrap_or("-"),
             placed_by = self.placed_by.map_or("-", PlacedBy::word),
-            placing_us = self.placing.as_micros() as u64, outcome = outcome.word(),
-            first_event_ms = self.first_event.map_or(0, |time| time.as_millis() as u64),
-            took_ms = took.as_millis() as u64;
+            placing_us = self.placement_time.as_micros() as u64, outcome = outcome.as_str(),
+            first_event_ms = self.first_event.map_or(0, |elapsed| elapsed.as_millis() as u64),
+            took_ms = elapsed.as_millis() as u64;
             "request-ended"
         );
     }
--- a/crates/cuminramp-gateway/src/online/serve.rs
+++ b/crates/cuminramp-gateway/src/online/serve.rs
@@ -1,4 +1,4 @@
-//! Sends a request to targets until one answers.
+//! Sends an online request to targets until one answers.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use tokio::time::Instant;
 
 use super::RequestRecord;
-use super::relay::{relay_stream, relay_whole};
+use super::relay::{relay_complete, relay_stream};
 use crate::entry::{AnswerBody, is_retry};
 use crate::interfaces::{CallHead, TargetHead};
 use crate::slots::find_slot;
 use crate::state::{GatewayState, lock};
 use crate::targets::{SendFailure, TargetAnswer, TargetRequest, TargetRun, send_request};
 
-/// Sends that no target ran, as when it was full or could not be reached, for one attempt of a
-/// caller. Each takes a few milliseconds, and the board avoids what refused.
-const MOST_UNRUN_SENDS: u32 = 5;
-/// Time without a head or event after which a stream that can be resumed goes on elsewhere.
-/// Callers give a stream up after two seconds without an event; this leaves time for the other
-/// target to get it going.
-const SILENCE_LIMIT: Duration = Duration::from_millis(900);
-/// Time that is kept back of a caller's deadline, so that the last answer still arrives.
+/// Maximum number of sends, for one attempt of a caller, that no target runs because it is full or
+/// unreachable. Each needs a few milliseconds, and the placement table avoids targets that refused.
+const MAX_NOT_RUN_SENDS: u32 = 5;
+/// Timeout without a response head or data after which a request that may run again is sent to another
+/// target. Callers abandon a stream after two seconds without an event; this leaves the other target
+/// time to send the next one.
+const FAILOVER_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time subtracted from a caller's deadline, so that the final answer still arrives in time.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
 
 /// A request that passed admission.
@@ -38,40 +38,43 @@
     pub(crate) route: RouteRule,
     pub(crate) team: Option<Name>,
     pub(crate) pool: Name,
-    /// Where it may run.
+    /// Zones in which the request may run.
     pub(crate) zones: ZoneLimit,
 }
 
-/// A request on its way through targets.
-pub(crate) struct RequestPass {
+/// A request that is being sent to targets, and the state of its sends.
+pub(crate) struct RequestDispatch {
     pub(crate) state: Arc<GatewayState>,
     pub(crate) request: AdmittedRequest,
     pub(crate) record: RequestRecord,
-    /// Sends that a target may have run.
+    /// Number of sends that a target may have run.
     pub(crate) runs: u32,
-    unrun: u32,
+    /// Number of sends that no target ran.
+    not_run_sends: u32,
+    /// Identifiers of the targets that it was sent to.
     tried: Vec<Name>,
-    /// The last event that the caller has.
+    /// Last event that was passed on to the caller.
     pub(crate) last_event: Option<u64>,
+    /// Time by which the caller gets its final answer.
     deadline: Instant,
-    /// What tells it from other requests, whichever caller's attempt it is.
+    /// Hash of team, URI and body, computed on first use. All attempts of a caller have the same one.
     fingerprint: OnceLock<u64>,
 }
 
-impl RequestPass {
+impl RequestDispatch {
     fn new(state: Arc<GatewayState>, request: AdmittedRequest, record: RequestRecord) -> Self {
-        let mut limit = request.route.timeout;
+        let mut timeout = request.route.timeout;
         if let Some(deadline) = request.head.deadline {
-            limit = limit.min(deadline.saturating_sub(DEADLINE_MARGIN));
+            timeout = timeout.min(deadline.saturating_sub(DEADLINE_MARGIN));
         }
-        let deadline = record.began() + limit;
+        let deadline = record.started() + timeout;
         let last_event = request.head.last_event;
-        RequestPass {
+        RequestDispatch {
             state,
             request,
             record,
             runs: 0,
-            unrun: 0,
+            not_run_sends: 0,
             tried: Vec::new(),
             last_event,
             deadline,
@@ -88,58 +91,62 @@
         })
     }
 
-    /// A refusal, if the request broke as many targets as are allowed, here or at other hosts.
-    fn refuse_suspect(&self) -> Result<(), Refusal> {
+    /// Returns a refusal if the request is quarantined: it crashed as many targets as the limit allows,
+    /// at this host or at others.
+    fn check_quarantine(&self) -> Result<(), Refusal> {
         let crashes = lock(&self.state.crashes);
         if crashes.is_empty() {
             return Ok(());
         }
-        let Some(left) = crashes.quarantine_left(self.fingerprint(), Instant::now()) else {
+        let Some(remaining) = crashes.quarantine_left(self.fingerprint(), Instant::now()) else {
             return Ok(());
         };
         let execution = if self.runs > 0 { Execution::MayHaveRun } else { Execution::NotRun };
-        let reason = "the same request broke several targets";
+        let reason = "the same request crashed several targets";
         Err(Refusal::not_run(ResultCode::RequestHeldBack, reason)
             .with_execution(execution)
-            .with_retry_after(left))
+            .with_retry_after(remaining))
     }
 
-    /// A target broke the connection while it had nothing but this request to answer on it.
-    pub(crate) fn note_crash(&self) {
+    /// Records a crash: a target's connection broke while this request was the only one on it.
+    /// Other hosts receive the count with the next heartbeat, which is requested here.
+    pub(crate) fn record_crash(&self) {
         let crashes = lock(&self.state.crashes).on_crash(self.fingerprint(), Instant::now());
-        self.record.note_crash(self.fingerprint(), crashes);
+        self.record.record_crash(self.fingerprint(), crashes);
         self.state.request_heartbeat();
     }
 
-    /// It ran to its end.
-    pub(crate) fn note_whole(&self) {
+    /// Records that the request was answered completely, which resets its crash count.
+    pub(crate) fn record_success(&self) {
         let mut crashes = lock(&self.state.crashes);
         if !crashes.is_empty() {
             crashes.on_success(self.fingerprint());
         }
     }
 
-    /// When the caller has its final answer at the latest.
+    /// Returns the time by which the caller gets its final answer.
     pub(crate) fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// How long the next silence may last: short while the request can go on elsewhere.
-    pub(crate) fn silence_limit(&self) -> Duration {
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        if self.may_run_again() { left.min(SILENCE_LIMIT) } else { left }
+    /// Returns the timeout for the next response head or data: short while another target may run the
+    /// request, else up to the deadline.
+    pub(crate) fn read_timeout(&self) -> Duration {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        if self.may_run_again() { remaining.min(FAILOVER_TIMEOUT) } else { remaining }
     }
 
-    /// Whether another target may run it after one that did.
+    /// Returns whether another target may run the request after the earlier runs.
     pub(crate) fn may_run_again(&self) -> bool {
         self.request.route.is_repeatable() && self.runs < self.request.route.max_attempts
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     pub(crate) fn is_stream(&self) -> bool {
         self.request.route.kind == RouteKind::Stream
     }
 
+    /// Searches for a free slot at a target.
     async fn place(&mut self) -> PlacementDecision {
         let placement_request = PlacementRequest {
             pool: &self.request.pool,
@@ -148,14 +155,15 @@
             tried: &self.tried,
             zones: &self.request.zones,
         };
-        let began = Instant::now();
+        let started = Instant::now();
         let (decision, placed_by) = find_slot(&self.state, &placement_request).await;
-        self.record.note_place(placed_by, began.elapsed());
+        self.record.record_placement(placed_by, started.elapsed());
         decision
     }
 
+    /// Sends the request to `target` and waits for the head of the answer.
     async fn send(&mut self, target: FleetTarget) -> Result<TargetAnswer, SendFailure> {
-        self.record.note_send(&target.id);
+        self.record.record_send(&target.id);
         let head = TargetHead {
             deadline: Some(self.deadline.saturating_duration_since(Instant::now())),
             team: self.request.team.as_deref(),
@@ -169,20 +177,21 @@
             body: self.request.body.clone(),
             request_id: self.request.head.request_id.clone(),
             is_fresh: !self.request.route.is_repeatable(),
-            head_limit: self.silence_limit(),
+            head_limit: self.read_timeout(),
         };
         self.tried.push(target.id.clone());
         let run = TargetRun::begin(&self.state, target, WorkKind::Online);
         send_request(run, message).await
     }
 
-    /// Sends it until a target answers or there is nothing more to try.
-    pub(crate) async fn find_answer(&mut self) -> Result<TargetAnswer, Refusal> {
+    /// Sends the request to one target after another until one answers, or returns the refusal for the
+    /// caller. After all usable targets failed, each may be tried again.
+    pub(crate) async fn send_until_answered(&mut self) -> Result<TargetAnswer, Refusal> {
         loop {
-            self.refuse_suspect()?;
+            self.check_quarantine()?;
             let target = match self.place().await {
                 PlacementDecision::Send(target) => target,
-                PlacementDecision::Full(after) => return Err(self.refuse_full(after)),
+                PlacementDecision::Full(retry_after) => return Err(self.refuse_full(retry_after)),
                 PlacementDecision::Nowhere if !self.tried.is_empty() => {
                     self.tried.clear();
                     continue;
@@ -196,48 +205,48 @@
                 }
                 Err(failure) => failure,
             };
-            self.after_failure(&failure)?;
+            self.handle_failure(&failure)?;
         }
     }
 
-    fn refuse_full(&self, after: Duration) -> Refusal {
-        let reason = "every slot is taken, and the shortest queue is too long";
-        Refusal::not_run(ResultCode::TargetsUnavailable, reason).with_retry_after(after)
+    fn refuse_full(&self, retry_after: Duration) -> Refusal {
+        let reason = "all slots are in use and the shortest queue is too long";
+        Refusal::not_run(ResultCode::TargetsUnavailable, reason).with_retry_after(retry_after)
     }
 
     fn refuse_nowhere(&self) -> Refusal {
-        /// Targets register within about a second of their start.
-        const SOON: Duration = Duration::from_millis(700);
+        /// Targets register within about a second after they start.
+        const NO_TARGET_RETRY_DELAY: Duration = Duration::from_millis(700);
         let reason = format!("pool {} has no target", self.request.pool);
         let execution = if self.runs > 0 { Execution::MayHaveRun } else { Execution::NotRun };
         Refusal::not_run(ResultCode::TargetsUnavailable, reason)
-            .with_retry_after(SOON)
+            .with_retry_after(NO_TARGET_RETRY_DELAY)
             .with_execution(execution)
     }
 
-    /// Decides what follows a failed send; `Ok` means to go on.
-    fn after_failure(&mut self, failure: &SendFailure) -> Result<(), Refusal> {
+    /// Records a failed send and decides the next step. `Ok` means that the request is sent again.
+    fn handle_failure(&mut self, failure: &SendFailure) -> Result<(), Refusal> {
         let stage = match failure {
             SendFailure::NotSent(_) => FailureStage::NotSent,
             SendFailure::Refused { .. } => FailureStage::Refused,
             _ => FailureStage::Sent,
         };
         if failure.is_not_run() {
-            self.unrun += 1;
+            self.not_run_sends += 1;
         } else {
             self.runs += 1;
         }
         if matches!(failure, SendFailure::Broken(_)) {
-            self.note_crash();
+            self.record_crash();
         }
-        self.decide(stage, failure.word(), &format!("{failure:?}"))
+        self.decide_next_step(stage, failure.word(), &format!("{failure:?}"))
     }
 
-    /// Asks the one place that decides about retries.
-    pub(crate) fn decide(
+    /// Applies the retry rules to a failure. `Ok` means that the request is sent again or resumed.
+    pub(crate) fn decide_next_step(
         &mut self,
         stage: FailureStage,
-        word: &str,
+        failure_kind: &str,
         detail: &str,
     ) -> Result<(), Refusal> {
         let is_repeatable = self.request.route.is_repeatable();
@@ -249,19 +258,19 @@
             earlier: if self.runs > 0 { Execution::MayHaveRun } else { Execution::NotRun },
         };
         let failure = AttemptFailure { stage, is_crash: false };
-        let is_unrun = matches!(stage, FailureStage::NotSent | FailureStage::Refused);
-        // Sends that did not run are bounded by themselves; they use up no attempt.
-        let attempt = if is_unrun { self.runs.min(traits.max_attempts - 1) } else { self.runs };
-        let may_retry = !is_unrun || self.unrun < MOST_UNRUN_SENDS;
+        let is_not_run = matches!(stage, FailureStage::NotSent | FailureStage::Refused);
+        // Sends that no target ran have a limit of their own and don't count as attempts.
+        let attempt = if is_not_run { self.runs.min(traits.max_attempts - 1) } else { self.runs };
+        let may_retry = !is_not_run || self.not_run_sends < MAX_NOT_RUN_SENDS;
         let decision = decide_retry(&traits, failure, attempt, Instant::now(), || may_retry);
         match decision {
             RetryDecision::Resend | RetryDecision::Resume { .. } => {
-                self.record.note_failure(word, detail, "send-again");
+                self.record.record_failure(failure_kind, detail, "send-again");
                 Ok(())
             }
             RetryDecision::GiveUp { code, execution } => {
-                self.record.note_failure(word, detail, "give-up");
-                let refusal = Refusal::not_run(code, word).with_execution(execution);
+                self.record.record_failure(failure_kind, detail, "give-up");
+                let refusal = Refusal::not_run(code, failure_kind).with_execution(execution);
                 Err(match execution {
                     Execution::NotRun => refusal.with_retry_after(self.retry_after()),
                     _ => refusal,
@@ -270,41 +279,43 @@
         }
     }
 
-    /// When a refused caller should come back: soon, since another host or target may do at once.
+    /// Returns the delay after which a refused caller should retry. It is short, since another host or
+    /// target may be able to serve the request immediately.
     fn retry_after(&self) -> Duration {
-        /// Long enough for the board of every host to know what failed here.
-        const SHORTLY: Duration = Duration::from_millis(150);
-        SHORTLY
+        /// Long enough for the placement tables of all hosts to receive the failures recorded here.
+        const RETRY_DELAY: Duration = Duration::from_millis(150);
+        RETRY_DELAY
     }
 }
 
-/// Serves one request.
+/// Serves one admitted request, within its deadline.
 pub(crate) async fn serve_request(
     state: Arc<GatewayState>,
     request: AdmittedRequest,
     record: RequestRecord,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    let mut pass = RequestPass::new(state, request, record);
-    let deadline = pass.deadline();
-    let found = match tokio::time::timeout_at(deadline, pass.find_answer()).await {
-        Ok(found) => found,
+    let mut dispatch = RequestDispatch::new(state, request, record);
+    let deadline = dispatch.deadline();
+    let result = match tokio::time::timeout_at(deadline, dispatch.send_until_answered()).await {
+        Ok(result) => result,
         Err(_) => {
             let execution =
-                if pass.record.has_sent() { Execution::MayHaveRun } else { Execution::NotRun };
-            let refusal = Refusal::not_run(ResultCode::DeadlineExceeded, "no answer in time");
+                if dispatch.record.has_sent() { Execution::MayHaveRun } else { Execution::NotRun };
+            let refusal =
+                Refusal::not_run(ResultCode::DeadlineExceeded, "no answer before the deadline");
             Err(refusal.with_execution(execution))
         }
     };
-    let answer = match found {
+    let answer = match result {
         Ok(answer) => answer,
         Err(refusal) => {
-            pass.record.end_refused(&refusal);
+            dispatch.record.end_refused(&refusal);
             return Err(refusal);
         }
     };
-    if pass.is_stream() && answer.parts.status.is_success() {
-        Ok(relay_stream(pass, answer))
+    if dispatch.is_stream() && answer.parts.status.is_success() {
+        Ok(relay_stream(dispatch, answer))
     } else {
-        relay_whole(pass, answer).await
+        relay_complete(dispatch, answer).await
     }
 }
--- a/crates/cuminramp-gateway/src/online/stream.rs
+++ b/crates/cuminramp-gateway/src/online/stream.rs
@@ -1,4 +1,4 @@
-//! A stream of events to a caller, from one target after another.
+//! Event stream to a caller, resumed at another target when it is interrupted.
 
 use std::io;
 
@@ -12,40 +12,43 @@
 use tokio::time::Instant;
 
 use super::RequestOutcome;
-use super::serve::RequestPass;
+use super::serve::RequestDispatch;
 use crate::targets::{EventSplitter, TargetAnswer};
 
-/// What a caller's connection gets.
+/// Body frames of the caller's response.
 pub(crate) type EventFrames = BoxStream<'static, Result<Frame<Bytes>, io::Error>>;
 
+/// State of a stream that is passed on to a caller.
 struct StreamRelay {
-    pass: RequestPass,
+    dispatch: RequestDispatch,
+    /// Current answer; `None` after the end of the stream.
     answer: Option<TargetAnswer>,
     splitter: EventSplitter,
-    /// Why nothing more can be taken from the present answer, once its events are passed on.
-    gap: Option<String>,
-    /// The last event that the caller had when the present answer began.
-    begun_after: Option<u64>,
+    /// Why the current answer can't be read further; applied once the events before it are passed on.
+    read_error: Option<String>,
+    /// Last event that the caller had when the current answer started.
+    resumed_after: Option<u64>,
 }
 
-/// What the next read brought.
+/// Result of a read from the current answer.
 enum StreamStep {
-    /// Whole events.
+    /// Complete events.
     Events(Bytes),
-    /// The stream ended whole.
+    /// The stream ended without an error; holds the bytes after the last complete event.
     End(Bytes),
-    /// It broke off.
-    Broken(String),
+    /// The stream was interrupted, for this reason.
+    Interrupted(String),
 }
 
-/// The body of an answer: dropped with the caller's connection, and the target's with it.
-pub(crate) fn stream_body(pass: RequestPass, answer: TargetAnswer) -> EventFrames {
+/// Returns the body of a streamed answer. Closing the caller's connection drops it, and with it the
+/// target's answer.
+pub(crate) fn stream_body(dispatch: RequestDispatch, answer: TargetAnswer) -> EventFrames {
     let relay = StreamRelay {
-        begun_after: pass.last_event,
-        pass,
+        resumed_after: dispatch.last_event,
+        dispatch,
         answer: Some(answer),
         splitter: EventSplitter::default(),
-        gap: None,
+        read_error: None,
     };
     unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
@@ -59,7 +62,7 @@
 }
 
 impl StreamRelay {
-    /// The next bytes for the caller; `None` after the end.
+    /// Returns the next bytes for the caller; `None` after the end.
     async fn next_frame(&mut self) -> Result<Option<Bytes>, io::Error> {
         loop {
             if self.answer.is_none() {
@@ -67,42 +70,46 @@
             }
             match self.read_step().await {
                 StreamStep::Events(bytes) => {
-                    self.pass.record.note_first_event();
+                    self.dispatch.record.record_first_event();
                     return Ok(Some(bytes));
                 }
                 StreamStep::End(rest) => {
-                    self.end_whole();
+                    self.end_complete();
                     return Ok(Some(rest).filter(|rest| !rest.is_empty()));
                 }
-                StreamStep::Broken(reason) => self.go_on_elsewhere(&reason).await?,
+                StreamStep::Interrupted(reason) => self.resume_elsewhere(&reason).await?,
             }
         }
     }
 
+    /// Reads from the current answer until there are events to pass on, or the answer ends.
     async fn read_step(&mut self) -> StreamStep {
         loop {
-            let taken = self.splitter.take_following(&mut self.pass.last_event);
-            self.gap = self.gap.take().or(taken.gap);
+            let taken = self.splitter.take_following(&mut self.dispatch.last_event);
+            self.read_error = self.read_error.take().or(taken.gap);
             if !taken.bytes.is_empty() {
                 return StreamStep::Events(taken.bytes.freeze());
             }
-            if let Some(reason) = self.gap.take() {
-                return StreamStep::Broken(reason);
+            if let Some(reason) = self.read_error.take() {
+                return StreamStep::Interrupted(reason);
             }
-            let limit = self.pass.silence_limit();
+            let timeout = self.dispatch.read_timeout();
             let Some(answer) = &mut self.answer else {
-                return StreamStep::Broken("no answer".into());
+                return StreamStep::Interrupted("no answer".into());
             };
-            match tokio::time::timeout(limit, answer.body.frame()).await {
+            match tokio::time::timeout(timeout, answer.body.frame()).await {
                 Err(_) => {
-                    return StreamStep::Broken(format!("silent for {} ms", limit.as_millis()));
+                    return StreamStep::Interrupted(format!(
+                        "no data for {} ms",
+                        timeout.as_millis()
+                    ));
                 }
                 Ok(Some(Err(error))) => {
-                    // One that broke off later had begun well.
-                    if self.pass.last_event == self.begun_after {
-                        self.pass.note_crash();
+                    // An answer that already brought a new event doesn't count as a crash.
+                    if self.dispatch.last_event == self.resumed_after {
+                        self.dispatch.record_crash();
                     }
-                    return StreamStep::Broken(error.to_string());
+                    return StreamStep::Interrupted(error.to_string());
                 }
                 Ok(Some(Ok(frame))) => {
                     if let Ok(bytes) = frame.into_data() {
@@ -117,46 +124,47 @@
         }
     }
 
-    fn end_whole(&mut self) {
+    /// Ends the stream as complete.
+    fn end_complete(&mut self) {
         if let Some(answer) = self.answer.take() {
             answer.run.end_whole(answer.head.keep_alive);
         }
-        self.pass.note_whole();
-        self.pass.record.end(RequestOutcome::Answered);
+        self.dispatch.record_success();
+        self.dispatch.record.end(RequestOutcome::Answered);
     }
 
-    /// Resumes at another target, or breaks the caller's stream off: an answer that ends early must
-    /// not look complete.
-    async fn go_on_elsewhere(&mut self, reason: &str) -> Result<(), io::Error> {
+    /// Resumes the stream at another target, or returns an error that aborts the caller's stream: an answer
+    /// that ends early must not look complete.
+    async fn resume_elsewhere(&mut self, reason: &str) -> Result<(), io::Error> {
         if let Some(answer) = self.answer.take() {
             answer.run.end_failed();
         }
         self.splitter = EventSplitter::default();
-        let broken = |reason: &str| io::Error::other(reason.to_owned());
-        if self.pass.request.route.kind != RouteKind::Stream
-            || Instant::now() >= self.pass.deadline()
+        let interrupted = |reason: &str| io::Error::other(reason.to_owned());
+        if self.dispatch.request.route.kind != RouteKind::Stream
+            || Instant::now() >= self.dispatch.deadline()
         {
-            self.pass.record.end(RequestOutcome::BrokenOff);
-            return Err(broken(reason));
+            self.dispatch.record.end(RequestOutcome::StreamBroken);
+            return Err(interrupted(reason));
         }
-        let events = self.pass.last_event.map_or(0, |last| last as usize + 1);
+        let events = self.dispatch.last_event.map_or(0, |last| last as usize + 1);
         let stage = FailureStage::Partial { events };
-        let outcome = match self.pass.decide(stage, "broken-stream", reason) {
+        let outcome = match self.dispatch.decide_next_step(stage, "broken-stream", reason) {
             Ok(()) => {
-                let deadline = self.pass.deadline();
-                tokio::time::timeout_at(deadline, self.pass.find_answer()).await
+                let deadline = self.dispatch.deadline();
+                tokio::time::timeout_at(deadline, self.dispatch.send_until_answered()).await
             }
             Err(refusal) => Ok(Err(refusal)),
         };
         match outcome {
             Ok(Ok(answer)) if answer.parts.status.is_success() => {
                 self.answer = Some(answer);
-                self.begun_after = self.pass.last_event;
+                self.resumed_after = self.dispatch.last_event;
                 Ok(())
             }
             _ => {
-                self.pass.record.end(RequestOutcome::BrokenOff);
-                Err(broken(reason))
+                self.dispatch.record.end(RequestOutcome::StreamBroken);
+                Err(interrupted(reason))
             }
         }
     }
