--- a/crates/cuminramp-fleet/src/jobs/item.rs
+++ b/crates/cuminramp-fleet/src/jobs/item.rs
@@ -43,14 +43,14 @@
     pub items: Vec<Arc<ItemSpec>>,
 }
 
-/// Partial output of an item from runs that did not complete it.
+/// Output of an item received so far, over all its runs.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ItemProgress {
     /// Number of the last event that was received completely; `None` before the first.
     pub last_event: Option<u64>,
     /// Data of all events that were received completely, separated by line feeds.
     pub text: String,
-    /// Time that targets have worked on the item.
+    /// Time that targets worked to produce `text`.
     pub ran: Duration,
 }
 
