--- a/crates/cuminramp-gateway/src/gateway.rs
+++ b/crates/cuminramp-gateway/src/gateway.rs
@@ -28,7 +28,7 @@
     HostSocket, PeerClients, forget_silent, greet_host, receive_datagrams, send_heartbeats,
     serve_calls, tell_all, watch_pauses,
 };
-use crate::slots::{SlotState, send_reports, tend_slots};
+use crate::slots::{SlotState, maintain_owned_groups, send_reports};
 use crate::state::{GatewayState, lock};
 use crate::sync::{
     DeclarationsFollower, RelayedStore, TargetsFollower, announce_host, drop_missing_targets,
@@ -270,7 +270,7 @@
     spawn_loop(state, send_heartbeats(state.clone()));
     spawn_loop(state, receive_datagrams(state.clone()));
     spawn_loop(state, send_reports(state.clone()));
-    spawn_loop(state, tend_slots(state.clone()));
+    spawn_loop(state, maintain_owned_groups(state.clone()));
     spawn_loop(state, watch_pauses(state.clone()));
     spawn_loop(state, run_items(state.clone()));
     spawn_loop(state, take_jobs_over(state.clone()));
--- a/crates/cuminramp-gateway/src/slots/cold.rs
+++ b/crates/cuminramp-gateway/src/slots/cold.rs
@@ -1,4 +1,4 @@
-//! What this host may send to targets that have just started.
+//! Limits what this host sends to cold targets, which have just started.
 
 use cuminramp_core::Name;
 use cuminramp_fleet::{ColdShare, SlotGroup};
@@ -7,10 +7,12 @@
 use super::owner_of;
 use crate::state::{GatewayState, lock};
 
-/// What this host may hand out as the one that answers for a group.
+/// Returns the share of the rate of a group's cold targets that this host may grant when it acts as the
+/// owner of the group.
 ///
-/// Hosts that are cut off from each other all believe that they own the group. Only one part of the fleet
-/// can hear most hosts of the zone, so only its owner has the owner's share.
+/// Hosts that are cut off from each other each consider themselves the owner. Only one part of the fleet
+/// can receive heartbeats from most hosts of the zone, so only the owner in that part gets the owner's
+/// share. Otherwise the owners of all parts together would exceed the rate of a cold target.
 pub(super) fn group_share(state: &GatewayState, group: &SlotGroup, now: Instant) -> ColdShare {
     if lock(&state.placement).cold_targets(&group.pool, Some(group), now).is_empty() {
         return ColdShare::Owner;
@@ -21,12 +23,14 @@
     {
         return ColdShare::Owner;
     }
-    lone_share(state, &group.pool, Some(group), now)
+    share_without_owner(state, &group.pool, Some(group), now)
 }
 
-/// What this host may send by itself: only a few hosts may, drawn by rendezvous for each target, so that
-/// what all of them send stays below what a cold target bears.
-pub(super) fn lone_share(
+/// Returns the cold targets to which this host may send without an owner's grant.
+///
+/// For each target, rendezvous hashing selects a few hosts that may. The requests of all of them together
+/// stay below what the cold target can handle.
+pub(super) fn share_without_owner(
     state: &GatewayState,
     pool: &str,
     group: Option<&SlotGroup>,
@@ -40,6 +44,6 @@
         .collect();
     drop(placement);
     let peers = lock(&state.peers);
-    let mine = cold.into_iter().filter(|(id, _, hosts)| peers.rank(id) < *hosts);
-    ColdShare::Alone(mine.map(|(_, hash, _)| hash).collect())
+    let permitted = cold.into_iter().filter(|(id, _, hosts)| peers.rank(id) < *hosts);
+    ColdShare::Alone(permitted.map(|(_, hash, _)| hash).collect())
 }
--- a/crates/cuminramp-gateway/src/slots/mod.rs
+++ b/crates/cuminramp-gateway/src/slots/mod.rs
@@ -1,9 +1,9 @@
-//! Slots of targets: questions to their owners, reports to them, and what this host owns itself.
+//! Slots of targets: slot requests and reports to owners of slot groups, and the groups that this host owns.
 
-mod ask;
 mod cold;
 mod owner;
 mod report;
+mod request;
 
 use std::sync::Mutex;
 use std::sync::atomic::AtomicU64;
@@ -18,84 +18,86 @@
 use crate::jobs::may_run_in;
 use crate::state::{GatewayState, lock};
 
-pub(crate) use ask::{PlacedBy, find_slot, take_response};
-pub(crate) use owner::{take_owner_failure, take_report, take_request, tend_slots};
+pub(crate) use owner::{maintain_owned_groups, take_owner_failure, take_report, take_request};
 pub(crate) use report::{ask_for_item_slots, send_reports, take_command};
+pub(crate) use request::{PlacedBy, find_slot, take_response};
 
-/// What this host knows of slots: those that it owns, and those that it uses.
+/// State of the slots that this host owns and of those that it uses.
 pub(crate) struct SlotState {
     ledger: Mutex<SlotLedger>,
     owners: Mutex<OwnerTable>,
-    reports: Mutex<ReportTimer>,
-    report_wanted: Notify,
+    report_timer: Mutex<ReportTimer>,
+    report_timer_changed: Notify,
     report_sequence: AtomicU64,
-    /// By address of the owner.
+    /// Received and acknowledged grants, by address of the owner.
     grants: Mutex<SortedMap<Name, GrantSequence>>,
-    next_request: AtomicU64,
-    waiting: Mutex<SortedMap<u64, oneshot::Sender<SlotResponse>>>,
+    next_request_id: AtomicU64,
+    pending_requests: Mutex<SortedMap<u64, oneshot::Sender<SlotResponse>>>,
 }
 
 impl SlotState {
-    /// Knows nothing yet.
+    /// Creates the state of a host that owns and uses no slot yet.
     pub(crate) fn new(me: HostId) -> Self {
         SlotState {
             ledger: SlotLedger::new(me).into(),
             owners: Default::default(),
-            reports: Default::default(),
-            report_wanted: Notify::new(),
+            report_timer: Default::default(),
+            report_timer_changed: Notify::new(),
             report_sequence: AtomicU64::new(1),
             grants: Default::default(),
-            next_request: AtomicU64::new(1),
-            waiting: Default::default(),
+            next_request_id: AtomicU64::new(1),
+            pending_requests: Default::default(),
         }
     }
 
-    /// Forgets what it owned, as after a pause of this host.
+    /// Drops the state of owned groups. Called after this host was paused: other hosts may have owned its
+    /// groups in the meantime.
     pub(crate) fn reset(&self, state: &GatewayState) {
         let mut placement = lock(&state.placement);
         lock(&self.ledger).reset(&mut placement);
         drop(placement);
-        self.bring_all_forward();
+        self.bring_all_reports_forward();
     }
 
-    /// A slot of a group came free, or items wait for one.
-    pub(crate) fn bring_forward(&self, group: &SlotGroup) {
-        lock(&self.reports).bring_forward(group, Instant::now());
-        self.report_wanted.notify_one();
+    /// Sends the next report on a group soon: a slot came free, or items wait for one.
+    pub(crate) fn bring_report_forward(&self, group: &SlotGroup) {
+        lock(&self.report_timer).bring_forward(group, Instant::now());
+        self.report_timer_changed.notify_one();
     }
 
-    /// A slot was taken that its owner handed out.
-    pub(crate) fn schedule(&self, group: &SlotGroup) {
-        lock(&self.reports).schedule(group, Instant::now());
-        self.report_wanted.notify_one();
+    /// Schedules the next report on a group at the usual interval: a slot that its owner granted is in use.
+    pub(crate) fn schedule_report(&self, group: &SlotGroup) {
+        lock(&self.report_timer).schedule(group, Instant::now());
+        self.report_timer_changed.notify_one();
     }
 
-    fn bring_all_forward(&self) {
-        lock(&self.reports).bring_all_forward(Instant::now());
-        self.report_wanted.notify_one();
+    fn bring_all_reports_forward(&self) {
+        lock(&self.report_timer).bring_all_forward(Instant::now());
+        self.report_timer_changed.notify_one();
     }
 
-    /// Takes a grant; `false` where a report has shown its owner already that it came to nothing.
-    fn take_grant(&self, owner: &Name, grant: u64) -> bool {
+    /// Records a grant and returns whether it may be used. A grant that arrives after a report acknowledged
+    /// a later one may not: by that report, its owner counts it as unused.
+    fn accept_grant(&self, owner: &Name, grant: u64) -> bool {
         let mut grants = lock(&self.grants);
         grants.get_or_insert_with(owner.clone(), GrantSequence::default).accept(grant)
     }
 
-    /// The last grant of an owner, as a report tells it.
-    fn tell_grants(&self, owner: &Name) -> u64 {
+    /// Returns the number of the last grant received from an owner, for a report that acknowledges it.
+    fn acknowledge_grants(&self, owner: &Name) -> u64 {
         let mut grants = lock(&self.grants);
         grants.get_or_insert_with(owner.clone(), GrantSequence::default).acknowledge()
     }
 }
 
-/// The owner of a group as this host sees it.
+/// Returns the owner of a group as seen by this host.
 fn owner_of(state: &GatewayState, group: &SlotGroup) -> Option<HostId> {
     let is_me_ready = state.is_ready();
     let peers = lock(&state.peers);
     lock(&state.slots.owners).owner(group, &peers, is_me_ready, Instant::now())
 }
 
-/// Items of this host that wait for a slot of a group.
+/// Returns the items of this host that wait for a slot of a group; none while the host drains.
 fn item_demand(state: &GatewayState, group: &SlotGroup) -> Vec<ItemDemand> {
     if state.is_draining() {
         return vec![];
--- a/crates/cuminramp-gateway/src/slots/owner.rs
+++ b/crates/cuminramp-gateway/src/slots/owner.rs
@@ -1,4 +1,4 @@
-//! The groups that this host owns.
+//! Slot groups that this host owns: responds to requests, grants slots to items and limits them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,18 +11,19 @@
 use tokio::time::Instant;
 
 use super::cold::group_share;
-use super::report::{keep_items, start_granted};
+use super::report::{limit_running_items, start_granted_items};
 use super::{item_demand, owner_of};
 use crate::peers::send_to_host;
 use crate::state::{GatewayState, lock};
 
-/// Between two looks at grants that were not used, hosts that fell silent, and free slots.
-const TEND_EVERY: Duration = Duration::from_millis(25);
-/// Every so many of these the host finds out which groups are its own.
-const CLAIM_EVERY: u32 = 10;
+/// Interval at which unused grants and silent hosts are expired and free slots are granted to items.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(25);
+/// Number of maintenance intervals between two checks of which groups this host owns.
+const OWNERSHIP_CHECK_TURNS: u32 = 10;
 
-/// Answers a question of this host or another.
-pub(super) async fn answer_request(
+/// Responds to a slot request of this host or another, then sends item limits: the request may have left a
+/// target with more work than slots.
+pub(super) async fn respond_to_request(
     state: &Arc<GatewayState>,
     host: &HostId,
     group: &SlotGroup,
@@ -40,20 +41,21 @@
     if *host != state.id() {
         send_to_host(state, HostMessage::Response(response), &host.address).await;
     }
-    limit_items(state, group).await;
+    send_item_limits(state, group).await;
     response
 }
 
-/// Takes a question of another host.
+/// Handles a slot request from another host.
 pub(crate) async fn take_request(state: &Arc<GatewayState>, from: &Name, request: SlotRequest) {
     let host = HostId { address: from.clone(), incarnation: request.incarnation };
     let group = lock(&state.placement).group_of(request.group).cloned();
-    // The targets of the group are not known here yet: the caller finds another owner.
+    // This host has not read the targets of the group yet. Without a response the requesting host turns to
+    // the next owner.
     let Some(group) = group else { return };
-    answer_request(state, &host, &group, &request).await;
+    respond_to_request(state, &host, &group, &request).await;
 }
 
-/// Takes what another host has in flight.
+/// Handles a report from another host of what it has in flight.
 pub(crate) async fn take_report(state: &Arc<GatewayState>, from: &Name, report: SlotReport) {
     let host = HostId { address: from.clone(), incarnation: report.incarnation };
     let group = {
@@ -66,26 +68,26 @@
         }
         group
     };
-    run_group(state, &group).await;
+    balance_group(state, &group).await;
 }
 
-/// Lets items leave where more work is than slots, and hands free slots to items.
-pub(super) async fn run_group(state: &Arc<GatewayState>, group: &SlotGroup) {
-    limit_items(state, group).await;
-    // Two owners that both handed free slots to items would fill them twice.
+/// Preempts items at targets with more work than slots, and grants free slots to items.
+pub(super) async fn balance_group(state: &Arc<GatewayState>, group: &SlotGroup) {
+    send_item_limits(state, group).await;
+    // Only the owner grants: two hosts that granted the same free slots to items would fill them twice.
     if owner_of(state, group) == Some(state.id()) {
         grant_items(state, group).await;
     }
 }
 
-async fn limit_items(state: &Arc<GatewayState>, group: &SlotGroup) {
+async fn send_item_limits(state: &Arc<GatewayState>, group: &SlotGroup) {
     let limits = {
         let placement = lock(&state.placement);
         lock(&state.slots.ledger).item_limits(&placement, group, Instant::now())
     };
     for ItemLimit { host, target, items } in limits {
         if host == state.id() {
-            keep_items(state, target, items);
+            limit_running_items(state, target, items);
         } else {
             let command = SlotCommand::Limit { target, items };
             send_to_host(state, HostMessage::Command(command), &host.address).await;
@@ -94,18 +96,18 @@
 }
 
 async fn grant_items(state: &Arc<GatewayState>, group: &SlotGroup) {
-    let own = item_demand(state, group);
+    let own_demand = item_demand(state, group);
     let now = Instant::now();
     lock(&state.slots.ledger).record_ownership(group.hash(), now);
     let share = group_share(state, group, now);
     let grants = {
         let mut placement = lock(&state.placement);
         let mut ledger = lock(&state.slots.ledger);
-        ledger.grant_items(&mut placement, group, own, &share, now)
+        ledger.grant_items(&mut placement, group, own_demand, &share, now)
     };
     for ItemGrant { host, target, items, grant } in grants {
         if host == state.id() {
-            start_granted(state, group, target, items);
+            start_granted_items(state, group, target, items);
         } else {
             let command = SlotCommand::Start { group: group.hash(), grant, target, items };
             send_to_host(state, HostMessage::Command(command), &host.address).await;
@@ -113,7 +115,7 @@
     }
 }
 
-/// Takes the claim of another host that an owner is silent.
+/// Handles a report from another host that an owner is silent.
 pub(crate) fn take_owner_failure(state: &GatewayState, from: &Name, failure: &OwnerFailure) {
     let failed = failure.failed_host();
     let is_new = lock(&state.slots.owners).receive_failure(from, &failed, Instant::now());
@@ -122,16 +124,16 @@
             peer = &*failed.address, incarnation = failed.incarnation, source = &**from;
             "owner-passed-over"
         );
-        state.slots.bring_all_forward();
+        state.slots.bring_all_reports_forward();
     }
 }
 
-/// Looks after the groups that this host owns until the gateway stops.
-pub(crate) async fn tend_slots(state: Arc<GatewayState>) {
+/// Maintains the groups that this host owns until the gateway stops.
+pub(crate) async fn maintain_owned_groups(state: Arc<GatewayState>) {
     let mut turn = 0u32;
     loop {
-        tokio::time::sleep(TEND_EVERY).await;
-        if turn.is_multiple_of(CLAIM_EVERY) {
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
+        if turn.is_multiple_of(OWNERSHIP_CHECK_TURNS) {
             record_owned_groups(&state);
         }
         turn = turn.wrapping_add(1);
@@ -145,13 +147,13 @@
         for hash in owned {
             let group = lock(&state.placement).group_of(hash).cloned();
             if let Some(group) = group {
-                run_group(&state, &group).await;
+                balance_group(&state, &group).await;
             }
         }
     }
 }
 
-/// One line for each target that is set aside for failing too much, or used again.
+/// Logs each target that was ejected as an outlier for failing too often, or reinstated.
 fn log_outliers(state: &GatewayState) {
     let mut placement = lock(&state.placement);
     for change in placement.take_outlier_changes(Instant::now()) {
@@ -165,7 +167,7 @@
     }
 }
 
-/// Takes note of the groups that are this host's, so that it is settled when the first items come.
+/// Records the groups that this host owns, so that its ownership has settled before the first items arrive.
 fn record_owned_groups(state: &GatewayState) {
     let groups = lock(&state.placement).all_groups();
     for group in groups {
--- a/crates/cuminramp-gateway/src/slots/report.rs
+++ b/crates/cuminramp-gateway/src/slots/report.rs
@@ -1,4 +1,4 @@
-//! What this host tells owners of slots, and what they tell it to do with batch items.
+//! Reports of this host to the owners of slot groups, and commands from owners for batch items.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -7,17 +7,17 @@
 use cuminramp_fleet::{HostMessage, SlotCommand, SlotGroup, SlotReport};
 use tokio::time::{Instant, sleep_until};
 
-use super::owner::run_group;
+use super::owner::balance_group;
 use super::{item_demand, owner_of};
 use crate::jobs::{fill_slots, waiting_pools};
 use crate::peers::send_to_host;
 use crate::state::{GatewayState, lock};
 
-/// Sends reports until the gateway stops: soon after changes, and at intervals while anything is in
-/// flight or waits.
+/// Sends reports until the gateway stops: soon after a change, and at intervals while requests or items are
+/// in flight or items wait.
 pub(crate) async fn send_reports(state: Arc<GatewayState>) {
     loop {
-        let next = lock(&state.slots.reports).next();
+        let next = lock(&state.slots.report_timer).next();
         let due = async {
             match next {
                 Some(at) => sleep_until(at).await,
@@ -26,14 +26,14 @@
         };
         tokio::select! {
             () = due => {}
-            () = state.slots.report_wanted.notified() => continue,
+            () = state.slots.report_timer_changed.notified() => continue,
         }
         let groups = {
             let placement = lock(&state.placement);
             let pools = waiting_pools(&state);
             let is_busy =
                 |group: &SlotGroup| placement.is_busy_in(group) || pools.contains(&group.pool);
-            lock(&state.slots.reports).take_due(is_busy, Instant::now())
+            lock(&state.slots.report_timer).take_due(is_busy, Instant::now())
         };
         for group in groups {
             report_group(&state, &group).await;
@@ -44,18 +44,18 @@
 async fn report_group(state: &Arc<GatewayState>, group: &SlotGroup) {
     match owner_of(state, group) {
         None => {}
-        Some(owner) if owner == state.id() => run_group(state, group).await,
+        Some(owner) if owner == state.id() => balance_group(state, group).await,
         Some(owner) => {
-            let report = make_report(state, group, &owner);
+            let report = build_report(state, group, &owner);
             send_to_host(state, HostMessage::Report(report), &owner.address).await;
         }
     }
 }
 
-fn make_report(state: &GatewayState, group: &SlotGroup, owner: &HostId) -> SlotReport {
+fn build_report(state: &GatewayState, group: &SlotGroup, owner: &HostId) -> SlotReport {
     let now = Instant::now();
     let demand = item_demand(state, group);
-    let acknowledged_grant = state.slots.tell_grants(&owner.address);
+    let acknowledged_grant = state.slots.acknowledge_grants(&owner.address);
     let mut placement = lock(&state.placement);
     SlotReport {
         incarnation: state.me.incarnation,
@@ -70,37 +70,37 @@
     }
 }
 
-/// Tells owners that items wait: that of the own zone at once, those of others with the next report.
-/// Did all learn it at once, each would hand out slots for the same items.
+/// Reports waiting items to owners: to the owner in this host's zone at once, to those of other zones with
+/// the next scheduled report. If all owners received it at once, each would grant slots for the same items.
 pub(crate) fn ask_for_item_slots(state: &GatewayState) {
     for pool in waiting_pools(state) {
         let groups = lock(&state.placement).groups(&pool);
         for group in groups {
             if group.zone == state.me.zone {
-                state.slots.bring_forward(&group);
+                state.slots.bring_report_forward(&group);
             } else {
-                state.slots.schedule(&group);
+                state.slots.schedule_report(&group);
             }
         }
     }
 }
 
-/// Takes an order of an owner.
+/// Handles a command from an owner.
 pub(crate) fn take_command(state: &Arc<GatewayState>, from: &Name, command: SlotCommand) {
     match command {
-        SlotCommand::Limit { target, items } => keep_items(state, target, items),
+        SlotCommand::Limit { target, items } => limit_running_items(state, target, items),
         SlotCommand::Start { group, grant, target, items } => {
-            let is_usable = state.slots.take_grant(from, grant);
+            let is_usable = state.slots.accept_grant(from, grant);
             let group = lock(&state.placement).group_of(group).cloned();
             if let Some(group) = group.filter(|_| is_usable) {
-                start_granted(state, &group, target, items);
+                start_granted_items(state, &group, target, items);
             }
         }
     }
 }
 
-/// Lets items leave a target until only so many stay.
-pub(super) fn keep_items(state: &GatewayState, target: u32, items: u16) {
+/// Preempts items of this host at a target until at most `items` are left there.
+pub(super) fn limit_running_items(state: &GatewayState, target: u32, items: u16) {
     let Some(id) = lock(&state.placement).by_hash(target).map(|target| target.id.clone()) else {
         return;
     };
@@ -110,18 +110,23 @@
     }
 }
 
-/// Starts items in slots that were handed to this host. Slots that it has no use for go back with the
-/// next report.
-pub(super) fn start_granted(state: &Arc<GatewayState>, group: &SlotGroup, target: u32, items: u16) {
-    let found = {
+/// Starts up to `items` items in slots granted to this host. Slots that it can't use return to the owner with
+/// the next report, which is then sent soon.
+pub(super) fn start_granted_items(
+    state: &Arc<GatewayState>,
+    group: &SlotGroup,
+    target: u32,
+    items: u16,
+) {
+    let usable_target = {
         let placement = lock(&state.placement);
         let is_avoided = placement.avoided(group, Instant::now()).contains(&target);
         placement.by_hash(target).filter(|_| !is_avoided).cloned()
     };
-    let started = found.map_or(0, |target| fill_slots(state, &group.pool, &target, items));
+    let started = usable_target.map_or(0, |target| fill_slots(state, &group.pool, &target, items));
     if started < items {
-        state.slots.bring_forward(group);
+        state.slots.bring_report_forward(group);
     } else {
-        state.slots.schedule(group);
+        state.slots.schedule_report(group);
     }
 }
--- /dev/null
+++ b/crates/cuminramp-gateway/src/slots/request.rs
@@ -0,0 +1,264 @@
+//! Requests a slot for an online request from the owners of slot groups.
+
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+use cuminramp_core::{AvailabilityZone, HostId, Name};
+use cuminramp_fleet::{
+    HostMessage, OwnerFailure, PlacementDecision, PlacementRequest, SearchLimits, SearchStep,
+    SlotGroup, SlotOutcome, SlotRequest, SlotResponse, SlotSearch, name_hash,
+};
+use tokio::sync::oneshot;
+use tokio::time::{Instant, timeout};
+
+use super::cold::share_without_owner;
+use super::owner::respond_to_request;
+use super::owner_of;
+use crate::peers::send_to_host;
+use crate::state::{GatewayState, lock};
+
+/// Timeout for an owner's response: about ten times the round trip of a slot request between zones.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(25);
+/// Maximum number of times that a slot request is sent to one owner before the owner counts as silent. More
+/// than one, since a datagram may get lost.
+const MAX_SENDS_PER_OWNER: u32 = 2;
+/// Maximum number of owners of one group that are tried in turn: a request has some hundred milliseconds
+/// to find its slot.
+const MAX_OWNERS: u32 = 2;
+
+/// Retry delay returned to the caller of a request that this host can send nowhere, because it is cut off
+/// from all zones with targets. It is short, since another host can serve the request at once.
+const CUT_OFF_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// Which host chose the target of a request, and how.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub(crate) enum PlacedBy {
+    /// Another host, as the owner of the target's group.
+    Owner,
+    /// This host, as the owner of the target's group.
+    LocalOwner,
+    /// This host alone, since no owner gave a usable response.
+    NoOwner,
+}
+
+impl PlacedBy {
+    /// Returns the value of `placed_by` in log lines and metrics.
+    pub(crate) fn word(self) -> &'static str {
+        match self {
+            PlacedBy::Owner => "owner",
+            PlacedBy::LocalOwner => "itself",
+            PlacedBy::NoOwner => "guess",
+        }
+    }
+}
+
+/// Finds a slot for a request, and returns the decision with the host that made it.
+pub(crate) async fn find_slot(
+    state: &Arc<GatewayState>,
+    request: &PlacementRequest<'_>,
+) -> (PlacementDecision, PlacedBy) {
+    let mut groups = lock(&state.placement).groups(request.pool);
+    groups.retain(|group| request.zones.allows(&group.zone));
+    let unreachable = unreachable_zones(state, &groups);
+    if unreachable.len() == groups.len() && !groups.is_empty() && !has_majority(state) {
+        return (PlacementDecision::Full(CUT_OFF_RETRY_DELAY), PlacedBy::NoOwner);
+    }
+    let mut failed = lock(&state.placement).zones_of(request.tried);
+    // Listed twice, an unreachable zone counts like one in which two sends failed: the search asks it last.
+    failed.extend(unreachable.iter().chain(&unreachable).cloned());
+    let mut search = {
+        let mut random = lock(&state.random);
+        SlotSearch::new(groups, &state.me.zone, &mut **random).after_failures(&failed)
+    };
+    let search_limits = SearchLimits {
+        max_wait: request.objective.mul_f64(lock(&state.placement).wait_share()),
+        is_retry: request.is_retry,
+    };
+    loop {
+        let step = search.next(search_limits, &mut **lock(&state.random));
+        let (group, may_queue) = match step {
+            SearchStep::Ask { group, may_queue } => (group, may_queue),
+            SearchStep::Refuse(after) => return (PlacementDecision::Full(after), PlacedBy::Owner),
+            SearchStep::Nowhere => return (place_without_owner(state, request), PlacedBy::NoOwner),
+        };
+        let Some((outcome, placed_by)) =
+            request_from_group(state, &group, may_queue, request.tried).await
+        else {
+            return (place_without_owner(state, request), PlacedBy::NoOwner);
+        };
+        if let SlotOutcome::Granted { target, .. } = outcome {
+            // Ignores a grant for a target that is unknown here or that accepts no new work.
+            if let Some(target) = lock(&state.placement).granted(target).cloned() {
+                return (PlacementDecision::Send(target), placed_by);
+            }
+        }
+        search.receive(outcome);
+    }
+}
+
+/// Returns the zones of `groups` whose hosts are all silent and whose targets this host fails to connect to:
+/// the zone has failed, or this host is cut off from it.
+fn unreachable_zones(state: &GatewayState, groups: &[SlotGroup]) -> Vec<AvailabilityZone> {
+    let now = Instant::now();
+    let peers = lock(&state.peers);
+    let placement = lock(&state.placement);
+    let is_zone_unreachable =
+        |zone: &str| placement.is_unreachable(zone, now) && peers.is_zone_silent(zone, now);
+    let unreachable = groups.iter().filter(|group| is_zone_unreachable(&group.zone));
+    unreachable.map(|group| group.zone.clone()).collect()
+}
+
+fn has_majority(state: &GatewayState) -> bool {
+    lock(&state.peers).has_majority(Instant::now())
+}
+
+/// Chooses a target without an owner, by the work that this host itself has in flight.
+fn place_without_owner(state: &GatewayState, request: &PlacementRequest<'_>) -> PlacementDecision {
+    let now = Instant::now();
+    let share = share_without_owner(state, request.pool, None, now);
+    let mut placement = lock(&state.placement);
+    let mut random = lock(&state.random);
+    let decision = placement.place(request, &share, &mut **random, now);
+    if let PlacementDecision::Send(target) = &decision {
+        placement.record_sends(name_hash(&target.id), 1, now);
+    }
+    decision
+}
+
+/// Requests a slot from the owner of a group, and from the next owner if that one is silent.
+///
+/// Returns `None` if no owner responds, or if this host was too slow to read a response.
+async fn request_from_group(
+    state: &Arc<GatewayState>,
+    group: &SlotGroup,
+    may_queue: bool,
+    tried: &[Name],
+) -> Option<(SlotOutcome, PlacedBy)> {
+    let request = build_slot_request(state, group, may_queue, tried);
+    let me = state.id();
+    for _ in 0..MAX_OWNERS {
+        let owner = owner_of(state, group)?;
+        if owner == me {
+            let response = respond_to_request(state, &me, group, &request).await;
+            return Some((response.outcome, PlacedBy::LocalOwner));
+        }
+        match request_from_owner(state, &owner, &request).await {
+            OwnerReply::Outcome(outcome) => return Some((outcome, PlacedBy::Owner)),
+            OwnerReply::Silent => report_owner_failure(state, group, &owner).await,
+            OwnerReply::LocalDelay => return None,
+        }
+    }
+    None
+}
+
+fn build_slot_request(
+    state: &GatewayState,
+    group: &SlotGroup,
+    may_queue: bool,
+    tried: &[Name],
+) -> SlotRequest {
+    let placement = lock(&state.placement);
+    let mut avoided = placement.avoided(group, Instant::now());
+    avoided.extend(placement.hashes_of(tried));
+    drop(placement);
+    SlotRequest {
+        incarnation: state.me.incarnation,
+        request: state.slots.next_request_id.fetch_add(1, Ordering::Relaxed),
+        group: group.hash(),
+        avoided,
+        may_queue,
+    }
+}
+
+/// Result of a slot request to one owner.
+enum OwnerReply {
+    /// The owner responded.
+    Outcome(SlotOutcome),
+    /// The owner did not respond.
+    Silent,
+    /// This host ran late itself: the response may have arrived and be unread.
+    LocalDelay,
+}
+
+async fn request_from_owner(
+    state: &GatewayState,
+    owner: &HostId,
+    request: &SlotRequest,
+) -> OwnerReply {
+    let (sender, mut receiver) = oneshot::channel();
+    lock(&state.slots.pending_requests).insert(request.request, sender);
+    let mut reply = OwnerReply::Silent;
+    for _ in 0..MAX_SENDS_PER_OWNER {
+        let sent_at = Instant::now();
+        send_to_host(state, HostMessage::Request(request.clone()), &owner.address).await;
+        match timeout(RESPONSE_TIMEOUT, &mut receiver).await {
+            Ok(Ok(response)) => {
+                reply = OwnerReply::Outcome(check_grant(state, owner, response.outcome));
+                break;
+            }
+            Ok(Err(_)) => break,
+            Err(_) if sent_at.elapsed() > RESPONSE_TIMEOUT * 2 => {
+                reply = OwnerReply::LocalDelay;
+                break;
+            }
+            Err(_) => {}
+        }
+    }
+    lock(&state.slots.pending_requests).remove(&request.request);
+    reply
+}
+
+/// Returns the outcome, or `Busy` in place of a grant that this host must no longer use: a later grant
+/// overtook it, and the owner may have granted its slot to another host since.
+fn check_grant(state: &GatewayState, owner: &HostId, outcome: SlotOutcome) -> SlotOutcome {
+    match outcome {
+        SlotOutcome::Granted { grant, .. } if !state.slots.accept_grant(&owner.address, grant) => {
+            SlotOutcome::Busy { wait_ms: 0 }
+        }
+        outcome => outcome,
+    }
+}
+
+/// Excludes a silent owner and reports its failure to the hosts of the zone, so that they send their slot
+/// reports to the next owner at once.
+async fn report_owner_failure(state: &GatewayState, group: &SlotGroup, owner: &HostId) {
+    let is_new = lock(&state.slots.owners).exclude(owner, Instant::now());
+    if !is_new {
+        return;
+    }
+    log::warn!(
+        peer = &*owner.address, incarnation = owner.incarnation, pool = &*group.pool,
+        zone = &*group.zone;
+        "owner-silent"
+    );
+    state.slots.bring_all_reports_forward();
+    let failure = OwnerFailure {
+        group: group.hash(),
+        failed_address: owner.address.clone(),
+        failed_incarnation: owner.incarnation,
+    };
+    let receivers: Vec<Name> = {
+        let peers = lock(&state.peers);
+        let live = peers.live(false, Instant::now());
+        let of_zone = live.into_iter().filter(|(_, zone)| **zone == group.zone);
+        of_zone.map(|(id, _)| id.address).collect()
+    };
+    if let Some(socket) = state.socket.get() {
+        socket.send(&HostMessage::OwnerFailure(failure), &receivers).await;
+    }
+}
+
+/// Handles an owner's response to a slot request.
+pub(crate) fn take_response(state: &GatewayState, from: &Name, response: SlotResponse) {
+    let pending = lock(&state.slots.pending_requests).remove(&response.request);
+    let undelivered = match pending {
+        Some(sender) => sender.send(response).err(),
+        None => Some(response),
+    };
+    // The request no longer waits. Accepting the grant without using it returns the slot: the next report
+    // acknowledges the grant and lists no work for it.
+    if let Some(SlotOutcome::Granted { grant, .. }) = undelivered.map(|response| response.outcome) {
+        state.slots.accept_grant(from, grant);
+    }
+}
--- a/crates/cuminramp-gateway/src/targets/send.rs
+++ b/crates/cuminramp-gateway/src/targets/send.rs
@@ -83,7 +83,7 @@
     /// Counts work, and lets the owner of the slot know with the next report.
     pub(crate) fn begin(state: &Arc<GatewayState>, target: FleetTarget, kind: WorkKind) -> Self {
         lock(&state.placement).begin(&target.id, kind);
-        state.slots.schedule(&target.group());
+        state.slots.schedule_report(&target.group());
         TargetRun { state: state.clone(), target, kind, lease: None, began: Instant::now() }
     }
 
@@ -110,7 +110,7 @@
     fn drop(&mut self) {
         drop(self.lease.take());
         lock(&self.state.placement).end(&self.target.id, self.kind);
-        self.state.slots.bring_forward(&self.target.group());
+        self.state.slots.bring_report_forward(&self.target.group());
     }
 }
 
