--- a/crates/cuminramp-gateway/src/gateway.rs
+++ b/crates/cuminramp-gateway/src/gateway.rs
@@ -314,7 +314,7 @@
         tokio::time::sleep(UPKEEP_EVERY).await;
         forget_silent(&state, &mut silent);
         drop_missing_targets(&state, Instant::now());
-        state.connections.close_old();
+        state.connections.close_expired();
         turn = turn.wrapping_add(1);
         if turn.is_multiple_of(LOAD_LINE_EVERY) {
             log_load(&state);
--- a/crates/cuminramp-gateway/src/targets/connections.rs
+++ b/crates/cuminramp-gateway/src/targets/connections.rs
@@ -1,4 +1,4 @@
-//! Idle connections to targets.
+//! Connections to targets, and a pool of idle ones for reuse.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -15,38 +15,40 @@
 
 use crate::state::lock;
 
-/// A connection that takes longer to stand is given up: half of the usual objective is left to try another
-/// target.
-const CONNECT_LIMIT: Duration = Duration::from_millis(150);
-/// A connection whose bytes the target's machine has not confirmed for so long is broken: the machine is
-/// gone or the path has fallen silent. A target that is merely busy confirms at once.
-const UNCONFIRMED_LIMIT: Duration = Duration::from_millis(150);
-/// How long an idle connection is used again where the target says nothing.
-const IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// A target that closes idle connections after so long may do so while a request is on its way;
-/// this much sooner the connection is not used any more.
-const IDLE_MARGIN: Duration = Duration::from_millis(500);
-/// Idle connections that are kept for each target.
-const MOST_IDLE: usize = 4;
-
-/// Lets the kernel break a connection whose bytes stay unconfirmed.
-fn break_if_unconfirmed(stream: &TcpStream) -> std::io::Result<()> {
-    sockopt::set_tcp_user_timeout(stream, UNCONFIRMED_LIMIT.as_millis() as u32)?;
+/// Timeout for connecting to a target. It leaves half of the usual objective to try another target.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Timeout after which the kernel breaks a connection whose sent bytes stay unacknowledged: the target's
+/// machine is gone, or the network path is cut. The machine of a target that is merely busy acknowledges at
+/// once.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(150);
+/// Keep-alive timeout assumed for a target that sends none, and the maximum for one that does.
+const MAX_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// Time before the keep-alive timeout at which an idle connection is no longer reused: the target may close
+/// it while a request is on its way.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
+/// Maximum number of idle connections to each target.
+const MAX_IDLE_PER_TARGET: usize = 4;
+
+/// Makes the kernel break a connection whose bytes stay unacknowledged for [`UNACKNOWLEDGED_TIMEOUT`].
+fn set_unacknowledged_timeout(stream: &TcpStream) -> std::io::Result<()> {
+    sockopt::set_tcp_user_timeout(stream, UNACKNOWLEDGED_TIMEOUT.as_millis() as u32)?;
     Ok(())
 }
 
-/// A connection that one request uses. Dropped without being put back it is closed at once, so that
-/// the target stops work that nobody waits for.
+/// A connection in use by one request.
+///
+/// If it is dropped without [`TargetConnections::put_back`], it is closed at once, so that the target stops
+/// work that nobody waits for.
 #[derive(Debug)]
-pub(crate) struct TargetLease {
+pub(crate) struct TargetConnection {
     address: Name,
     sender: Option<SendRequest<Full<Bytes>>>,
     task: AbortHandle,
-    /// Whether it was idle before.
+    /// Whether the connection was taken from the idle ones.
     pub(crate) is_reused: bool,
 }
 
-impl Drop for TargetLease {
+impl Drop for TargetConnection {
     fn drop(&mut self) {
         if self.sender.is_some() {
             self.task.abort();
@@ -54,8 +56,8 @@
     }
 }
 
-impl TargetLease {
-    /// The sender of the connection.
+impl TargetConnection {
+    /// Returns the sender of the connection; `None` once it was put back.
     pub(crate) fn sender(&mut self) -> Option<&mut SendRequest<Full<Bytes>>> {
         self.sender.as_mut()
     }
@@ -75,45 +77,47 @@
 }
 
 impl TargetConnections {
-    /// A connection to a target: an idle one, unless `is_fresh` asks for a new one, as requests that
-    /// may run only once do. A target may close an idle connection, or send a late answer on it,
-    /// just as the request leaves; then nobody can tell whether it ran.
-    pub(crate) async fn lease(
+    /// Returns a connection to a target: an idle one if there is any, or a new one.
+    ///
+    /// Requests that may run only once set `needs_new`, which forces a new connection. A target may close an
+    /// idle connection, or send a late response on it, just as the request is sent; the outcome of that
+    /// request would then be unknown.
+    pub(crate) async fn acquire(
         &self,
         address: &Name,
-        is_fresh: bool,
-    ) -> Result<TargetLease, std::io::Error> {
-        if !is_fresh && let Some(lease) = self.take_idle(address) {
-            return Ok(lease);
+        needs_new: bool,
+    ) -> Result<TargetConnection, std::io::Error> {
+        if !needs_new && let Some(idle) = self.take_idle(address) {
+            return Ok(idle);
         }
         let connecting = TcpStream::connect(&**address);
-        let stream = tokio::time::timeout(CONNECT_LIMIT, connecting)
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
             .await
             .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
         stream.set_nodelay(true)?;
-        break_if_unconfirmed(&stream)?;
+        set_unacknowledged_timeout(&stream)?;
         let (sender, connection) =
             Builder::new().handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
-        // Errors of the connection reach its request, which logs them.
+        // Errors of the connection reach the request on it, which logs them.
         let task = tokio::spawn(async move {
             let _ = connection.await;
         });
-        let lease = TargetLease {
+        let opened = TargetConnection {
             address: address.clone(),
             sender: Some(sender),
             task: task.abort_handle(),
             is_reused: false,
         };
-        Ok(lease)
+        Ok(opened)
     }
 
-    fn take_idle(&self, address: &Name) -> Option<TargetLease> {
+    fn take_idle(&self, address: &Name) -> Option<TargetConnection> {
         let now = Instant::now();
         let mut idle = lock(&self.idle);
         let connections = idle.get_mut(address)?;
         while let Some(connection) = connections.pop() {
             if connection.usable_until > now && connection.sender.is_ready() {
-                return Some(TargetLease {
+                return Some(TargetConnection {
                     address: address.clone(),
                     sender: Some(connection.sender),
                     task: connection.task,
@@ -125,39 +129,39 @@
         None
     }
 
-    /// Puts a connection back whose answer ended whole.
-    pub(crate) fn put_back(&self, mut lease: TargetLease, keep_alive: Option<Duration>) {
-        let Some(sender) = lease.sender.take() else { return };
-        let limit = keep_alive.map_or(IDLE_LIMIT, |limit| limit.min(IDLE_LIMIT));
-        let usable_until = Instant::now() + limit.saturating_sub(IDLE_MARGIN);
+    /// Adds a connection to the idle ones after a complete response, or closes it if there are enough.
+    pub(crate) fn put_back(&self, mut connection: TargetConnection, keep_alive: Option<Duration>) {
+        let Some(sender) = connection.sender.take() else { return };
+        let keep_alive = keep_alive.map_or(MAX_KEEP_ALIVE, |timeout| timeout.min(MAX_KEEP_ALIVE));
+        let usable_until = Instant::now() + keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
         let mut idle = lock(&self.idle);
-        let connections = idle.get_or_insert_with(lease.address.clone(), Vec::new);
-        if connections.len() >= MOST_IDLE {
-            lease.task.abort();
+        let connections = idle.get_or_insert_with(connection.address.clone(), Vec::new);
+        if connections.len() >= MAX_IDLE_PER_TARGET {
+            connection.task.abort();
             return;
         }
-        let task = lease.task.clone();
+        let task = connection.task.clone();
         connections.push(IdleConnection { sender, task, usable_until });
     }
 
-    /// Closes what is idle to a target that fell silent or broke: its other connections may be just
-    /// as lost, and each request on one would find out by itself.
+    /// Closes the idle connections to a target that timed out or broke a connection. Its other connections
+    /// may be lost as well, and each request sent on one of them would have to time out first.
     pub(crate) fn close_idle(&self, address: &Name) {
         for connection in lock(&self.idle).remove(address).unwrap_or_default() {
             connection.task.abort();
         }
     }
 
-    /// Closes connections that have been idle for too long.
-    pub(crate) fn close_old(&self) {
+    /// Closes idle connections that the target closed or that have expired.
+    pub(crate) fn close_expired(&self) {
         let now = Instant::now();
         lock(&self.idle).retain(|_, connections| {
             connections.retain(|connection| {
-                let is_kept = connection.usable_until > now && !connection.sender.is_closed();
-                if !is_kept {
+                let is_usable = connection.usable_until > now && !connection.sender.is_closed();
+                if !is_usable {
                     connection.task.abort();
                 }
-                is_kept
+                is_usable
             });
             !connections.is_empty()
         });
--- a/crates/cuminramp-gateway/src/targets/connections/tests.rs
+++ b/crates/cuminramp-gateway/src/targets/connections/tests.rs
@@ -5,12 +5,13 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{Instant, timeout};
 
-use super::{TargetConnections, break_if_unconfirmed};
+use super::{TargetConnections, set_unacknowledged_timeout};
 
-/// The usual time to the first event that callers are promised.
+/// Usual objective of a route: time from a request to its first event.
 const OBJECTIVE: Duration = Duration::from_millis(300);
 
-/// A listener that takes no further connection, as a machine without power does.
+/// Returns a listener whose backlog is full, so that it accepts no further connection, like a machine
+/// without power.
 async fn full_listener() -> (TcpListener, Vec<TcpStream>, Name) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -24,26 +25,26 @@
     (listener, open, address.to_string().into())
 }
 
-/// Guards against callers who are late because a target's machine is gone.
+/// Guards against a request that waits past its objective to connect to a target whose machine is gone.
 #[tokio::test]
-async fn a_connection_that_does_not_stand_leaves_time_for_another_target() {
+async fn a_connect_timeout_leaves_time_for_another_target() {
     let (_listener, _open, address) = full_listener().await;
 
-    let began = Instant::now();
-    let lease = TargetConnections::default().lease(&address, true).await;
+    let started = Instant::now();
+    let connection = TargetConnections::default().acquire(&address, true).await;
 
-    assert!(lease.is_err());
-    assert!(began.elapsed() < OBJECTIVE * 2 / 3, "{:?}", began.elapsed());
+    assert!(connection.is_err());
+    assert!(started.elapsed() < OBJECTIVE * 2 / 3, "{:?}", started.elapsed());
 }
 
-/// Guards against requests that wait for an answer on a connection whose other end is gone.
+/// Guards against a request that waits for a response on a connection whose other end is gone.
 #[tokio::test]
-async fn bytes_that_stay_unconfirmed_break_a_connection_within_the_objective() {
+async fn unacknowledged_bytes_break_a_connection_within_the_objective() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
 
-    break_if_unconfirmed(&stream).unwrap();
+    set_unacknowledged_timeout(&stream).unwrap();
 
-    let limit = sockopt::tcp_user_timeout(&stream).unwrap();
-    assert!((1..OBJECTIVE.as_millis() as u32).contains(&limit), "{limit} ms");
+    let timeout_ms = sockopt::tcp_user_timeout(&stream).unwrap();
+    assert!((1..OBJECTIVE.as_millis() as u32).contains(&timeout_ms), "{timeout_ms} ms");
 }
--- a/crates/cuminramp-gateway/src/targets/events.rs
+++ b/crates/cuminramp-gateway/src/targets/events.rs
@@ -1,18 +1,18 @@
-//! Whole events out of a stream of bytes.
+//! Splits a byte stream into complete server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// One whole event.
+/// A complete event of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct StreamEvent {
-    /// Its bytes, with the empty line that ends it.
+    /// Bytes of the event, with the empty line that ends it.
     pub(crate) raw: Bytes,
-    /// Its number.
+    /// Number of the event from its `id` field, if it has one.
     pub(crate) id: Option<u64>,
 }
 
 impl StreamEvent {
-    /// Its data: the `data` lines, separated by line feeds.
+    /// Returns the data of the event: its `data` lines, separated by line feeds.
     pub(crate) fn data(&self) -> String {
         let text = String::from_utf8_lossy(&self.raw);
         let lines = text.lines().filter_map(|line| field_value(line, "data"));
@@ -25,25 +25,25 @@
     Some(value.strip_prefix(' ').unwrap_or(value))
 }
 
-fn read_id(raw: &[u8]) -> Option<u64> {
+fn parse_id(raw: &[u8]) -> Option<u64> {
     let mut lines = raw.split(|byte| *byte == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
 
-/// How an event stands to the last one that was taken.
+/// Position of an event relative to the last event passed on.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum EventOrder {
-    /// It is the next, or has no number.
+    /// The event is the next one, or has no number.
     Next,
-    /// It was taken before.
+    /// The event was passed on before.
     Repeated,
-    /// Events between them are missing.
+    /// Events between the two are missing; names both numbers.
     Gap(String),
 }
 
 impl EventOrder {
-    /// Compares an event's number with the last one's.
+    /// Compares the number of an event with the number of the last one.
     pub(crate) fn of(id: Option<u64>, last: Option<u64>) -> Self {
         match (id, last) {
             (Some(id), Some(last)) if id <= last => EventOrder::Repeated,
@@ -55,45 +55,47 @@
     }
 }
 
-/// Events that follow what a caller has.
+/// Events that follow the last event that the caller has.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub(crate) struct TakenEvents {
-    /// Their bytes.
+pub(crate) struct FollowingEvents {
+    /// Bytes of the events.
     pub(crate) bytes: BytesMut,
-    /// Why no more can be taken from this stream.
+    /// Why no more events can be taken from this stream: a gap or an event that is too long.
     pub(crate) gap: Option<String>,
 }
 
-/// The longest event that is waited for. Targets send a few hundred bytes; one that never ends its
-/// event would fill the host's memory, of which the smallest hosts have 160 MB for everything.
-const MOST_EVENT_BYTES: usize = 1 << 20;
+/// Maximum size of an event in bytes. Targets send events of a few hundred bytes. A target that never ended
+/// an event would fill the memory of the host, which is 160 MB in total on the smallest hosts.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Cuts a stream into whole events. Half an event at the end of a broken stream stays behind: a
-/// caller who had got it would get its other half from another run.
+/// Splits a stream into complete events.
+///
+/// An incomplete event at the end of a broken stream is not passed on: the caller would receive its other
+/// half from another run of the request.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
     buffer: BytesMut,
-    searched: usize,
+    scanned: usize,
 }
 
 impl EventSplitter {
-    /// Takes bytes as they come.
+    /// Appends received bytes, which may end anywhere in an event.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event; `None` until more bytes are pushed.
     pub(crate) fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
-        self.searched = 0;
+        self.scanned = 0;
         let raw = self.buffer.split_to(end).freeze();
-        let id = read_id(&raw);
+        let id = parse_id(&raw);
         Some(StreamEvent { raw, id })
     }
 
     fn find_end(&mut self) -> Option<usize> {
         let bytes = &self.buffer[..];
-        let from = self.searched.saturating_sub(3);
+        let from = self.scanned.saturating_sub(3);
         for at in from..bytes.len() {
             if bytes[at] != b'\n' {
                 continue;
@@ -106,14 +108,16 @@
                 return Some(at + 3);
             }
         }
-        self.searched = bytes.len();
+        self.scanned = bytes.len();
         None
     }
 
-    /// All whole events that follow event `last`, which is moved along. Those before a gap are taken
-    /// all the same: `last` counts them, so a caller who did not get them would never do.
-    pub(crate) fn take_following(&mut self, last: &mut Option<u64>) -> TakenEvents {
-        let mut taken = TakenEvents::default();
+    /// Removes and returns all complete events that follow event `last`, and advances `last` past them.
+    ///
+    /// Events before a gap are returned as well: `last` counts them, so a stream resumed elsewhere would not
+    /// repeat them, and the caller would miss them for good.
+    pub(crate) fn take_following(&mut self, last: &mut Option<u64>) -> FollowingEvents {
+        let mut taken = FollowingEvents::default();
         while let Some(event) = self.next_event() {
             match EventOrder::of(event.id, *last) {
                 EventOrder::Repeated => continue,
@@ -130,13 +134,13 @@
         taken
     }
 
-    /// Says so where the unfinished event is longer than any that is waited for.
+    /// Returns an error text if the incomplete event is longer than [`MAX_EVENT_BYTES`].
     pub(crate) fn overlong_event(&self) -> Option<String> {
-        let is_overlong = self.buffer.len() > MOST_EVENT_BYTES;
-        is_overlong.then(|| format!("an event of over {MOST_EVENT_BYTES} bytes"))
+        let is_too_long = self.buffer.len() > MAX_EVENT_BYTES;
+        is_too_long.then(|| format!("an event of over {MAX_EVENT_BYTES} bytes"))
     }
 
-    /// Bytes that are no whole event yet.
+    /// Returns the bytes that form no complete event yet.
     pub(crate) fn rest(&self) -> &[u8] {
         &self.buffer
     }
--- a/crates/cuminramp-gateway/src/targets/events/tests.rs
+++ b/crates/cuminramp-gateway/src/targets/events/tests.rs
@@ -1,7 +1,7 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-use super::{EventSplitter, MOST_EVENT_BYTES};
+use super::{EventSplitter, MAX_EVENT_BYTES};
 
 const STREAM: &str = "id: 1\ndata: a\n\nid: 2\r\ndata:b\r\ndata: c\r\n\r\nid: 3\ndata: half";
 
@@ -17,21 +17,21 @@
     (events, splitter.rest().to_vec())
 }
 
-/// A target breaks off in the middle of an event, and its bytes come in pieces of any size. The
-/// caller must get whole events only, or the rest of another run would be glued to half of one.
+/// A target closes the connection in the middle of an event, and its bytes arrive in pieces of any size. If
+/// the incomplete event were passed on, the caller would receive it joined to output of another run.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(7)]
 #[test_case(1_000)]
-fn only_whole_events_come_out(chunk: usize) {
+fn only_complete_events_are_returned(chunk: usize) {
     let (events, rest) = split(chunk);
 
     assert_eq!(events, [(Some(1), "a".into()), (Some(2), "b\nc".into())]);
     assert_eq!(rest, b"id: 3\ndata: half");
 }
 
-/// One read brings events 5, 6 and 8. The stream is broken off for the gap and goes on elsewhere
-/// after event 6; a caller who had not got 5 and 6 would miss them for good.
+/// One read returns events 5, 6 and 8. The stream is cancelled because of the gap and resumed at another
+/// target after event 6. If 5 and 6 had not been passed on, the caller would miss them for good.
 #[test]
 fn events_before_a_gap_are_passed_on() {
     let mut splitter = EventSplitter::default();
@@ -44,12 +44,12 @@
     assert_eq!((taken.gap.as_deref(), last), (Some("event 8 follows 6"), Some(6)));
 }
 
-/// A target sends bytes without end and never ends its event. Waiting for the end would take all of
-/// the host's memory, and every other caller's stream with it.
+/// A target sends bytes without end and never ends its event. Waiting for the end would use up the memory of
+/// the host, and the streams of all other callers would fail with it.
 #[test]
-fn an_event_without_end_is_given_up() {
+fn an_event_without_end_is_rejected() {
     let mut splitter = EventSplitter::default();
-    splitter.push(&vec![b'x'; MOST_EVENT_BYTES + 1]);
+    splitter.push(&vec![b'x'; MAX_EVENT_BYTES + 1]);
 
     let taken = splitter.take_following(&mut None);
 
@@ -57,16 +57,16 @@
     assert!(taken.gap.is_some());
 }
 
-/// The events with these numbers, as a target sends them.
+/// Returns a stream of events with these numbers, as a target sends it.
 fn stream_of(ids: &[u64]) -> String {
     ids.iter().map(|id| format!("id: {id}\ndata: text of {id}\n\n")).collect()
 }
 
 proptest! {
-    /// Bytes come in pieces of any size, with events repeated and missing: what is passed on is
-    /// always whole events with numbers that follow each other without a gap.
+    /// Bytes arrive in pieces of any size, with events repeated and missing. The caller must receive only
+    /// complete events, with consecutive numbers.
     #[test]
-    fn what_is_passed_on_has_no_gap(
+    fn events_passed_on_have_no_gap(
         ids in prop::collection::vec(1_u64..12, 0..30),
         cut in 1_usize..40,
     ) {
@@ -82,13 +82,13 @@
             }
         }
 
-        let whole: Vec<u64> = (1..=last.unwrap_or(0)).collect();
-        prop_assert_eq!(String::from_utf8(passed_on).unwrap(), stream_of(&whole));
+        let complete: Vec<u64> = (1..=last.unwrap_or(0)).collect();
+        prop_assert_eq!(String::from_utf8(passed_on).unwrap(), stream_of(&complete));
     }
 
-    /// Whatever bytes a target sends, no byte is lost or made up: events and rest are the stream.
+    /// For any bytes that a target sends, the events and the rest together are exactly these bytes.
     #[test]
-    fn any_bytes_are_cut_and_kept(bytes in prop::collection::vec(prop::sample::select(
+    fn no_byte_is_lost_or_added(bytes in prop::collection::vec(prop::sample::select(
         b"id:\ndata\r 19\xff".to_vec()), 0..200), cut in 1_usize..50,
     ) {
         let mut splitter = EventSplitter::default();
--- a/crates/cuminramp-gateway/src/targets/mod.rs
+++ b/crates/cuminramp-gateway/src/targets/mod.rs
@@ -1,9 +1,9 @@
-//! Connections to targets, and sends over them.
+//! Connections to targets, requests sent over them, and the events of their responses.
 
 mod connections;
 mod events;
 mod send;
 
-pub(crate) use connections::{TargetConnections, TargetLease};
+pub(crate) use connections::{TargetConnection, TargetConnections};
 pub(crate) use events::{EventOrder, EventSplitter};
 pub(crate) use send::{SendFailure, TargetAnswer, TargetRequest, TargetRun, send_request};
--- a/crates/cuminramp-gateway/src/targets/send.rs
+++ b/crates/cuminramp-gateway/src/targets/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to a target.
+//! Sends a request to one target and checks the head of the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,48 +11,48 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 
-use super::TargetLease;
+use super::TargetConnection;
 use crate::entry::PROMISES;
 use crate::interfaces::AnswerHead;
 use crate::state::{GatewayState, lock};
 
-/// What is sent.
+/// A request to a target.
 #[derive(Clone, Debug)]
 pub(crate) struct TargetRequest {
     pub(crate) method: Method,
     pub(crate) path: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// The name that the answer has to bear.
+    /// Request id that the response has to carry.
     pub(crate) request_id: Option<Name>,
-    /// Whether it goes over a new connection.
+    /// Whether the request is sent over a new connection.
     pub(crate) is_fresh: bool,
-    /// Until the head of the answer is there.
+    /// Timeout for the head of the response.
     pub(crate) head_limit: Duration,
 }
 
-/// Why a send brought no answer to use.
+/// Why a request got no usable response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum SendFailure {
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// The target refused it and did not run it.
+    /// The target refused the request and did not run it.
     Refused {
-        /// It stands at another address now.
+        /// Whether the target has another address now: the response came from a different target.
         is_misdirected: bool,
-        /// Its status.
+        /// Status of the response.
         status: StatusCode,
     },
     /// The connection broke after the request was sent.
     Broken(String),
-    /// Nothing came in time.
+    /// No response arrived within this timeout.
     Silent(Duration),
-    /// What came is no answer to this request.
+    /// The response doesn't belong to this request or isn't signed by a target.
     Foreign,
 }
 
 impl SendFailure {
-    /// The word for logs and metrics.
+    /// Returns the value for logs and metrics.
     pub(crate) fn word(&self) -> &'static str {
         match self {
             SendFailure::NotSent(_) => "not-sent",
@@ -64,42 +64,48 @@
         }
     }
 
-    /// Whether the target surely did not run the request.
+    /// Whether it is certain that the target did not run the request.
     pub(crate) fn is_not_run(&self) -> bool {
         matches!(self, SendFailure::NotSent(_) | SendFailure::Refused { .. })
     }
 }
 
-/// Work on a target, counted until it is dropped.
+/// A request or item in flight at a target, counted in the target's load until it is dropped.
 pub(crate) struct TargetRun {
     state: Arc<GatewayState>,
     pub(crate) target: FleetTarget,
     kind: WorkKind,
-    lease: Option<TargetLease>,
-    began: Instant,
+    connection: Option<TargetConnection>,
+    started_at: Instant,
 }
 
 impl TargetRun {
-    /// Counts work, and lets the owner of the slot know with the next report.
+    /// Counts the work, and schedules the report of it to the owner of the slot.
     pub(crate) fn begin(state: &Arc<GatewayState>, target: FleetTarget, kind: WorkKind) -> Self {
         lock(&state.placement).begin(&target.id, kind);
         state.slots.schedule_report(&target.group());
-        TargetRun { state: state.clone(), target, kind, lease: None, began: Instant::now() }
+        TargetRun {
+            state: state.clone(),
+            target,
+            kind,
+            connection: None,
+            started_at: Instant::now(),
+        }
     }
 
-    /// The answer ended whole: the connection can be used again.
+    /// Records a complete response, and keeps the connection for reuse.
     pub(crate) fn end_whole(mut self, keep_alive: Option<Duration>) {
-        if let Some(lease) = self.lease.take() {
-            self.state.connections.put_back(lease, keep_alive);
+        if let Some(connection) = self.connection.take() {
+            self.state.connections.put_back(connection, keep_alive);
         }
         let mut placement = lock(&self.state.placement);
         placement.record_success(&self.target.id, Instant::now());
         if self.kind == WorkKind::Online {
-            placement.record_hold(self.began.elapsed());
+            placement.record_hold(self.started_at.elapsed());
         }
     }
 
-    /// The target broke off or fell silent.
+    /// Records that the target broke the connection or timed out, and closes its idle connections.
     pub(crate) fn end_failed(self) {
         lock(&self.state.placement).record_failure(&self.target.id, Instant::now());
         self.state.connections.close_idle(&self.target.address);
@@ -108,13 +114,13 @@
 
 impl Drop for TargetRun {
     fn drop(&mut self) {
-        drop(self.lease.take());
+        drop(self.connection.take());
         lock(&self.state.placement).end(&self.target.id, self.kind);
         self.state.slots.bring_report_forward(&self.target.group());
     }
 }
 
-/// An answer that began.
+/// A response whose head was received.
 pub(crate) struct TargetAnswer {
     pub(crate) run: TargetRun,
     pub(crate) parts: response::Parts,
@@ -122,7 +128,7 @@
     pub(crate) body: Incoming,
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits for the head of its response.
 pub(crate) async fn send_request(
     mut run: TargetRun,
     request: TargetRequest,
@@ -134,7 +140,7 @@
             state.metrics.count_attempt("answered");
             lock(&state.placement).record_reachable(&run.target.id);
         }
-        Err(failure) => note_failure(&state, run.target.clone(), failure),
+        Err(failure) => record_send_failure(&state, run.target.clone(), failure),
     }
     let (parts, head, body) = outcome?;
     Ok(TargetAnswer { run, parts, head, body })
@@ -145,27 +151,27 @@
     request: TargetRequest,
 ) -> Result<(response::Parts, AnswerHead, Incoming), SendFailure> {
     let state = run.state.clone();
-    let mut lease = state.connections.lease(&run.target.address, request.is_fresh).await;
-    if let Err(error) = &lease {
+    let mut connection = state.connections.acquire(&run.target.address, request.is_fresh).await;
+    if let Err(error) = &connection {
         return Err(SendFailure::NotSent(error.to_string()));
     }
-    let mut message = make_message(&request);
+    let mut http_request = build_http_request(&request);
     let deadline = Instant::now() + request.head_limit;
     let (response, is_reused) = loop {
-        let taken = lease.map_err(|error| SendFailure::NotSent(error.to_string()))?;
-        let is_reused = taken.is_reused;
-        run.lease = Some(taken);
-        let Some(sender) = run.lease.as_mut().and_then(TargetLease::sender) else {
+        let acquired = connection.map_err(|error| SendFailure::NotSent(error.to_string()))?;
+        let is_reused = acquired.is_reused;
+        run.connection = Some(acquired);
+        let Some(sender) = run.connection.as_mut().and_then(TargetConnection::sender) else {
             return Err(SendFailure::NotSent("connection is gone".into()));
         };
-        match tokio::time::timeout_at(deadline, sender.try_send_request(message)).await {
+        match tokio::time::timeout_at(deadline, sender.try_send_request(http_request)).await {
             Err(_) => return Err(SendFailure::Silent(request.head_limit)),
             Ok(Ok(response)) => break (response, is_reused),
             Ok(Err(mut error)) => match error.take_message() {
-                // The idle connection was closed before a byte of the request left.
+                // The idle connection was closed before a byte of the request was sent.
                 Some(unsent) if is_reused => {
-                    message = unsent;
-                    lease = state.connections.lease(&run.target.address, true).await;
+                    http_request = unsent;
+                    connection = state.connections.acquire(&run.target.address, true).await;
                 }
                 Some(_) => return Err(SendFailure::NotSent(error.error().to_string())),
                 None => return Err(SendFailure::Broken(error.error().to_string())),
@@ -174,48 +180,51 @@
     };
     let (parts, body) = response.into_parts();
     let head = state.calls.read_answer(&parts);
-    check_answer(&request, &parts, &head, is_reused)?;
+    check_response(&request, &parts, &head, is_reused)?;
     if let Some(busy) = head.busy {
         lock(&state.placement).record_load(&run.target.id, busy, Instant::now());
     }
     Ok((parts, head, body))
 }
 
-/// Whether an answer is one to this request. A late answer to an earlier request may come where this
-/// one's is due; taken for it, a caller would get another's answer, or read "not run" wrongly.
-fn check_answer(
+/// Checks that a response belongs to the request and reports a run of it.
+///
+/// A late response to an earlier request may arrive on the connection while this one is expected. Without the
+/// check, the caller would receive the response to another request, or a wrong "not run".
+fn check_response(
     request: &TargetRequest,
     parts: &response::Parts,
     head: &AnswerHead,
     is_reused: bool,
 ) -> Result<(), SendFailure> {
-    let is_own = head.request_id == request.request_id;
-    // A refusal may lack the name, as when the head was not understood.
+    let is_for_request = head.request_id == request.request_id;
+    // A refusal may lack the request id, for example if the target could not parse the head. On a reused
+    // connection it could then belong to an earlier request.
     let is_refusal = head.is_misdirected || head.is_not_run;
-    if is_refusal && (is_own || (head.request_id.is_none() && !is_reused)) {
+    if is_refusal && (is_for_request || (head.request_id.is_none() && !is_reused)) {
         let is_misdirected = head.is_misdirected;
         return Err(SendFailure::Refused { is_misdirected, status: parts.status });
     }
-    if !is_own || !head.is_signed || is_refusal {
+    if !is_for_request || !head.is_signed || is_refusal {
         return Err(SendFailure::Foreign);
     }
-    // Passed on, it would promise the caller that the request was not run, which nobody said.
+    // The status would promise the caller that the request was not run, which the target did not state.
     if PROMISES.contains(&parts.status.as_u16()) {
         return Err(SendFailure::Broken(parts.status.to_string()));
     }
     Ok(())
 }
 
-fn make_message(request: &TargetRequest) -> Request<Full<Bytes>> {
-    let mut message = Request::new(Full::new(request.body.clone()));
-    *message.method_mut() = request.method.clone();
-    *message.uri_mut() = request.path.clone();
-    *message.headers_mut() = request.headers.clone();
-    message
+fn build_http_request(request: &TargetRequest) -> Request<Full<Bytes>> {
+    let mut http_request = Request::new(Full::new(request.body.clone()));
+    *http_request.method_mut() = request.method.clone();
+    *http_request.uri_mut() = request.path.clone();
+    *http_request.headers_mut() = request.headers.clone();
+    http_request
 }
 
-/// Lets the board know, so that the next request avoids what failed.
-fn note_failure(state: &GatewayState, target: FleetTarget, failure: &SendFailure) {
+/// Records a failed send in the placement table, so that the next request avoids the target.
+fn record_send_failure(state: &GatewayState, target: FleetTarget, failure: &SendFailure) {
     state.metrics.count_attempt(failure.word());
     let now = Instant::now();
     let mut placement = lock(&state.placement);
