--- a/crates/cuminramp-gateway/src/interfaces.rs
+++ b/crates/cuminramp-gateway/src/interfaces.rs
@@ -1,4 +1,4 @@
-//! Borders to the formats of callers, targets and rows, and to the store.
+//! Interfaces to the formats of calls, targets and rows, and to the store.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use cuminramp_platform::{ObjectStore, Row, WatchedTable};
 use http::{HeaderMap, request, response};
 
-/// Bytes that are not of the expected format.
+/// Error for bytes that are not of the expected format, with the reason.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FormatError(pub String);
 
@@ -22,54 +22,54 @@
 
 impl std::error::Error for FormatError {}
 
-/// The key that came with a call.
+/// API key of a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CallerKey {
-    /// None came.
+    /// The call has no key.
     Missing,
-    /// One came.
+    /// The call has one key.
     Given(Name),
-    /// More than one came, or one that can't be read: whose call it is can't be known.
+    /// The call has more than one key, or one that can't be read, so that its team can't be determined.
     Ambiguous,
 }
 
-/// What the head of a call says.
+/// Contents of the head of a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallHead {
-    /// The caller's name for this attempt.
+    /// Request id that the caller gave to this attempt.
     pub request_id: Option<Name>,
-    /// How long the caller waits, from now.
+    /// Time that the caller waits for the response, from now.
     pub deadline: Option<Duration>,
-    /// The last event that the caller has of a stream that it resumes.
+    /// Number of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
-    /// Its key.
+    /// API key of the call.
     pub key: CallerKey,
-    /// The host that it names, without a port.
+    /// Host name that the call is addressed to, without a port.
     pub host: Name,
 }
 
-/// What a call asks for.
+/// Operation that a call requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CallerCall {
-    /// To be passed on, or a job handed in, as its route says.
+    /// Sends a request to a target or submits a job, as declared for the route.
     Request,
-    /// Results of a job from a position on.
+    /// Reads results of a job from a position on.
     ReadResults {
         /// The job.
         job: Name,
-        /// The first position.
+        /// Position of the first result to read.
         after: u32,
-        /// How long it may wait for a result.
+        /// Maximum time to wait for a result.
         wait: Duration,
     },
-    /// The body of an item.
+    /// Reads the body of an item.
     ReadItem {
         /// The job.
         job: Name,
         /// The item.
         item: Name,
     },
-    /// The end of a job.
+    /// Ends a job.
     EndJob {
         /// The job.
         job: Name,
@@ -77,7 +77,7 @@
 }
 
 impl CallerCall {
-    /// The job that it is about, where it names one.
+    /// Returns the job that the call refers to, if any.
     ///
     /// ```
     /// use cuminramp_gateway::CallerCall;
@@ -95,81 +95,81 @@
     }
 }
 
-/// A question for hosts to use.
+/// A steering request: asks which hosts a caller should use.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SteeringCall {
-    /// The host name that the caller is going to use.
+    /// Host name to which the caller will address its calls.
     pub host: Name,
-    /// The region where the caller stands.
+    /// Region of the caller.
     pub region: Name,
-    /// The zone where it stands.
+    /// Availability zone of the caller.
     pub zone: AvailabilityZone,
 }
 
-/// What a target learns beside the caller's own head.
+/// Values that the head of a request to a target carries in addition to the caller's own head.
 #[derive(Clone, Debug)]
 pub struct TargetHead<'a> {
-    /// Time that is left.
+    /// Time left until the deadline of the request.
     pub deadline: Option<Duration>,
-    /// The team, if the request has one.
+    /// Team of the request, if it has one.
     pub team: Option<&'a str>,
-    /// The target that the request is meant for.
+    /// Id of the target that the request is meant for.
     pub target: &'a str,
-    /// The last event that is there of a stream to go on with.
+    /// Number of the last event already received, if the target is to resume a stream.
     pub last_event: Option<u64>,
 }
 
-/// What the head of a target's answer says.
+/// Contents of the head of a target's response.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct AnswerHead {
-    /// The request that it answers.
+    /// Id of the request that the response belongs to.
     pub request_id: Option<Name>,
-    /// It bears the target's signature.
+    /// Whether the response carries the signature of a target.
     pub is_signed: bool,
-    /// It says that the request was not run.
+    /// Whether the response states that the request was not run.
     pub is_not_run: bool,
-    /// It comes from another target than the one that was meant.
+    /// Whether the response comes from another target than the one that the request was meant for.
     pub is_misdirected: bool,
-    /// How long the connection may stay idle, if the target says so.
+    /// Time for which the connection may stay idle, if the target returned it.
     pub keep_alive: Option<Duration>,
-    /// Requests that the target runs or lets wait, this one included, if it says so.
+    /// Number of requests that the target runs or queues, this one included, if it returned it.
     pub busy: Option<u32>,
 }
 
-/// A result at its position.
+/// Result of an item, as listed in a page of results.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListedResult {
-    /// The item.
+    /// Item of the result.
     pub item: Name,
-    /// Whether its whole output is there; it was given up otherwise.
+    /// Whether the output is complete; otherwise the item was given up.
     pub is_complete: bool,
-    /// Its output.
+    /// Output of the item.
     pub text: String,
 }
 
-/// Results from a position on.
+/// A page of a job's results, from a position on.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ResultPage {
-    /// Items of the job.
+    /// Number of items of the job.
     pub total: u32,
-    /// The position after the last one here.
+    /// Position after the last result of the page.
     pub next: u32,
-    /// The results.
+    /// Results of the page.
     pub results: Vec<ListedResult>,
 }
 
-/// How callers and targets spell calls.
+/// Format of calls from callers and to targets.
 pub trait CallFormat: Send + Sync {
     /// Reads the head of a call.
     fn read_head(&self, parts: &request::Parts) -> CallHead;
 
-    /// Reads what a call asks for.
+    /// Reads the operation that a call requests.
     fn read_call(&self, parts: &request::Parts) -> CallerCall;
 
-    /// The head that a target gets for a caller's request.
+    /// Returns the headers sent to a target for a caller's request.
     fn target_headers(&self, parts: &request::Parts, head: &TargetHead<'_>) -> HeaderMap;
 
-    /// The head that a target gets for an item of a job that came to `host`.
+    /// Returns the headers sent to a target for an item of a job that was submitted to the host name `host`.
     fn item_headers(
         &self,
         item: &ItemSpec,
@@ -177,47 +177,47 @@
         head: &TargetHead<'_>,
     ) -> Result<HeaderMap, FormatError>;
 
-    /// Reads the head of a target's answer.
+    /// Reads the head of a target's response.
     fn read_answer(&self, parts: &response::Parts) -> AnswerHead;
 
-    /// Headers of a target's answer that the caller gets.
+    /// Returns the headers of a target's response that are passed on to the caller.
     fn answer_headers(&self, parts: &response::Parts) -> HeaderMap;
 
     /// Reads the items of a job.
     fn read_job(&self, body: &[u8]) -> Result<Vec<ItemSpec>, FormatError>;
 
-    /// Writes results.
+    /// Writes a page of results.
     fn write_results(&self, page: &ResultPage) -> Bytes;
 
-    /// Reads a question for hosts; `None` if the call is none.
+    /// Reads a steering request; `None` if the call is not one.
     fn read_steering(&self, parts: &request::Parts) -> Option<SteeringCall>;
 
-    /// Writes the hosts to use and how long the answer may be kept.
-    fn write_steering(&self, hosts: &[Name], keep: Duration) -> Bytes;
+    /// Writes a steering response: the hosts to use, and the time for which the caller may cache them.
+    fn write_steering(&self, hosts: &[Name], ttl: Duration) -> Bytes;
 }
 
-/// How declarations and targets are spelled in the store.
+/// Format of declarations and targets in the store.
 pub trait FleetFormat: Send + Sync {
-    /// The table with the declarations.
+    /// Returns the name of the table of declarations.
     fn declarations_table(&self) -> &'static str;
 
-    /// The table with the targets.
+    /// Returns the name of the table of targets.
     fn targets_table(&self) -> &'static str;
 
-    /// Reads declarations; `None` where the row holds none.
+    /// Reads declarations; `None` if the row holds none.
     fn read_declarations(&self, row: &Row) -> Result<Option<Arc<FleetDeclarations>>, FormatError>;
 
     /// Reads a target.
     fn read_target(&self, row: &Row) -> Result<FleetTarget, FormatError>;
 
-    /// The zone that a row of the declarations' table drains, by its key alone.
+    /// Returns the zone that a row of the declarations table drains; determined from the key alone.
     fn drained_zone(&self, key: &str) -> Option<AvailabilityZone>;
 
-    /// The target that a row is about, by its key alone.
+    /// Returns the target that a row describes; determined from the key alone.
     fn target_id(&self, key: &str) -> Option<Name>;
 }
 
-/// The platform's store as the gateway needs it.
+/// Parts of the platform's store that the gateway uses.
 pub trait FleetStore: ObjectStore + WatchedTable {}
 
 impl<S: ObjectStore + WatchedTable> FleetStore for S {}
--- a/crates/cuminramp-gateway/src/lib.rs
+++ b/crates/cuminramp-gateway/src/lib.rs
@@ -1,17 +1,18 @@
-//! Serves callers' streams and whole jobs on equal hosts that share a fleet of targets.
+//! Serves callers' requests and streams and runs batch jobs, on equal hosts that share a fleet of targets.
 //!
-//! The decisions stand in `cuminramp-fleet`; this crate feeds them with events and carries their
-//! actions out:
+//! `cuminramp-fleet` makes the decisions without I/O. This crate feeds it with events and carries out what it
+//! decides:
 //!
-//! - `entry` accepts connections, reads heads and bodies, and answers steering and readiness;
-//! - `online` takes a request from admission to the end of its answer;
-//! - `jobs` accepts jobs, runs their items, lists results and takes jobs over;
-//! - `slots` asks the owners of targets for slots, and hands out those that this host owns;
-//! - `targets` keeps connections to targets;
+//! - `entry` accepts connections, reads heads and bodies, and serves steering, readiness and metrics;
+//! - `online` serves a request from its admission to the end of its response;
+//! - `jobs` accepts jobs, runs their items, lists results and takes over jobs of lost hosts;
+//! - `slots` requests slots from the owners of slot groups, and grants those of groups that this host owns;
+//! - `targets` pools connections to targets and sends requests over them;
 //! - `sync` follows declarations, targets and hosts in the store;
-//! - `peers` sends and takes datagrams, and asks other hosts for what the store does not tell.
+//! - `peers` exchanges datagrams with other hosts, and calls them for data that the store does not return.
 //!
-//! How callers, targets and rows are spelled is the business of [`CallFormat`] and [`FleetFormat`].
+//! Implementations of [`CallFormat`] and [`FleetFormat`] define the formats of callers' calls, of requests to
+//! targets and of rows in the store.
 
 mod entry;
 mod gateway;
