--- a/crates/cuminramp-gateway/src/gateway.rs
+++ b/crates/cuminramp-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A running gateway.
+//! Starts, drains and stops a gateway.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -35,34 +35,37 @@
     follow_table, learn_hosts, withdraw_host,
 };
 
-/// Long enough for a process to be killed and started again, and for a host to be frozen shortly.
-const PEERS: PeerPolicy = PeerPolicy { lost: Duration::from_millis(1_500) };
-/// Between two looks at what grows old: silent hosts, missing targets, idle connections.
-const UPKEEP_EVERY: Duration = Duration::from_millis(100);
-/// Every so many looks the load is logged: once in two seconds.
-const LOAD_LINE_EVERY: u32 = 20;
-/// Between two reads of all hosts' rows. New hosts greet by themselves; this finds what that missed.
-const LEARN_EVERY: Duration = Duration::from_secs(5);
-/// The longest such time: each read brings a row of every host.
-const LONGEST_LEARN: Duration = Duration::from_secs(30);
-/// Pause after such a read failed.
-const LEARN_PAUSE: Duration = Duration::from_millis(400);
-/// Time that callers need to learn that this host leaves: they keep answers for two seconds, some
-/// three times as long; those still on an open connection are told on it.
-const LEAVE_SHARE: f64 = 0.55;
-/// What is kept back of the grace for the last answers and heartbeats.
-const LEAVE_MARGIN: Duration = Duration::from_millis(700);
+/// Silence after which the jobs of a host are taken over. It is long enough for a process to be killed and
+/// started again, and for a host to be frozen briefly.
+const PEER_POLICY: PeerPolicy = PeerPolicy { lost: Duration::from_millis(1_500) };
+/// Interval at which silent hosts, missing targets and expired idle connections are handled.
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of upkeep intervals between two log lines with the load: one line in two seconds.
+const LOAD_LOG_TURNS: u32 = 20;
+/// Interval between two reads of the rows of all hosts. New hosts send join requests by themselves; the read
+/// finds hosts whose join requests were lost.
+const HOST_READ_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum of this interval, which grows with the fleet since each read returns a row of every host.
+const MAX_HOST_READ_INTERVAL: Duration = Duration::from_secs(30);
+/// Delay after a failed read of the hosts' rows.
+const HOST_READ_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Share of the grace period after which callers' connections are closed as soon as they are idle. By then
+/// callers no longer choose this host: they cache steering answers for two seconds, some of them for three
+/// times as long. Callers on open connections receive `connection: close` with each response of the drain.
+const CLOSE_IDLE_GRACE_SHARE: f64 = 0.55;
+/// Part of the grace period reserved for the last responses and heartbeats.
+const DRAIN_MARGIN: Duration = Duration::from_millis(700);
 
 /// Why a gateway did not start.
 #[derive(Debug)]
 pub enum GatewayError {
-    /// An address can't be listened on.
+    /// The gateway can't listen on an address.
     Listen {
-        /// The setting.
+        /// Setting that holds the address.
         setting: &'static str,
-        /// The address.
+        /// Address to listen on.
         address: String,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The metrics can't be set up.
@@ -83,29 +86,30 @@
 
 impl std::error::Error for GatewayError {}
 
-/// A running gateway.
+/// A running gateway. Dropping it doesn't stop its tasks.
 pub struct Gateway {
     state: Arc<GatewayState>,
 }
 
-/// Targets that a request may break before it is held back: one more than a route's usual two
-/// attempts, so that two breaks that came by chance hold nothing back.
-const MOST_CRASHES: u32 = 3;
-/// How long it is held back. Callers give up within seconds; a target that was replaced by a version
-/// without the fault is there within a minute.
-const QUARANTINE: Duration = Duration::from_secs(60);
+/// Number of target crashes at which a request is quarantined as a poison request: one more than a route's
+/// usual two attempts, so that two crashes by coincidence quarantine nothing.
+const MAX_REQUEST_CRASHES: u32 = 3;
+/// Time for which a poison request stays quarantined. Callers give up within seconds, and a target that was
+/// replaced by a fixed version is ready within a minute.
+const QUARANTINE_TTL: Duration = Duration::from_secs(60);
 
 async fn listen(setting: &'static str, address: &str) -> Result<TcpListener, GatewayError> {
     let bound = TcpListener::bind(address).await;
     bound.map_err(|source| GatewayError::Listen { setting, address: address.to_owned(), source })
 }
 
-/// The number of this run: later runs on a host have higher ones.
+/// Returns the incarnation of this run: the time in microseconds since the Unix epoch, so that later runs
+/// on a host have higher ones.
 fn new_incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |passed| passed.as_micros() as u64)
 }
 
-fn make_state(
+fn build_state(
     settings: GatewaySettings,
     store: Arc<dyn FleetStore>,
     calls: Arc<dyn CallFormat>,
@@ -144,8 +148,8 @@
         drains: Default::default(),
         regions,
         slots: SlotState::new(id),
-        crashes: CrashTable::new(MOST_CRASHES, QUARANTINE).into(),
-        peers: PeerTable::new(me.clone(), PEERS).into(),
+        crashes: CrashTable::new(MAX_REQUEST_CRASHES, QUARANTINE_TTL).into(),
+        peers: PeerTable::new(me.clone(), PEER_POLICY).into(),
         jobs: JobTable::new(JobPolicy::default()).into(),
         directory: Default::default(),
         writers: Default::default(),
@@ -195,9 +199,9 @@
             let address = settings.peer_address.clone();
             GatewayError::Listen { setting: "peer-address", address, source }
         })?;
-        let state = Arc::new(make_state(settings, store, calls, fleet)?);
+        let state = Arc::new(build_state(settings, store, calls, fleet)?);
         state.relay.attach(&state);
-        // The cell is empty until here.
+        // Can't fail: the cell is empty until here.
         let _ = state.socket.set(socket);
         log::info!(
             host = state.settings.name.as_str(), address = &*state.me.address,
@@ -214,11 +218,13 @@
         Ok(Gateway { state })
     }
 
-    /// Leaves: out of steering answers at once, callers on open connections are served on, jobs go
-    /// back with what is known of them, and what is in flight ends whole.
+    /// Drains the host and stops the gateway.
+    ///
+    /// Steering answers stop naming the host at once. Callers on open connections are still served. Held jobs
+    /// are handed over with their progress, and requests in flight are completed within the grace period.
     pub async fn leave(self) {
         let state = &self.state;
-        let began = Instant::now();
+        let started_at = Instant::now();
         let grace = state.settings.grace();
         log::info!(host = state.settings.name.as_str(), grace_ms = grace.as_millis() as u64; "leaving");
         state.is_draining.store(true, Ordering::Relaxed);
@@ -226,23 +232,23 @@
         tell_all(state).await;
         hand_jobs_over(state).await;
         withdraw_host(state).await;
-        let idle_at = began + grace.mul_f64(LEAVE_SHARE);
-        let last = began + grace.saturating_sub(LEAVE_MARGIN);
-        tokio::time::sleep_until(idle_at).await;
+        let close_idle_at = started_at + grace.mul_f64(CLOSE_IDLE_GRACE_SHARE);
+        let drain_deadline = started_at + grace.saturating_sub(DRAIN_MARGIN);
+        tokio::time::sleep_until(close_idle_at).await;
         state.drain_idle.cancel();
         state.tasks.close();
-        let whole = tokio::time::timeout_at(last, state.tasks.wait()).await.is_ok();
+        let is_complete = tokio::time::timeout_at(drain_deadline, state.tasks.wait()).await.is_ok();
         state.has_left.store(true, Ordering::Relaxed);
         tell_all(state).await;
         log::info!(
-            host = state.settings.name.as_str(), whole = whole,
-            took_ms = began.elapsed().as_millis() as u64;
+            host = state.settings.name.as_str(), whole = is_complete,
+            took_ms = started_at.elapsed().as_millis() as u64;
             "left"
         );
         state.stop.cancel();
     }
 
-    /// Stops at once, as a crash does, but in this process.
+    /// Stops the gateway at once without draining, like a crash that leaves the process running.
     pub fn kill(self) {
         self.state.stop.cancel();
     }
@@ -275,10 +281,10 @@
     spawn_loop(state, run_items(state.clone()));
     spawn_loop(state, take_jobs_over(state.clone()));
     spawn_loop(state, save_progress(state.clone()));
-    spawn_loop(state, keep_up(state.clone()));
+    spawn_loop(state, run_upkeep(state.clone()));
 }
 
-/// Greets the seeds, then reads all hosts' rows again and again.
+/// Sends join requests to the seeds, then reads the rows of all hosts at intervals.
 async fn follow_hosts(state: Arc<GatewayState>) {
     for seed in seed_addresses(&state) {
         greet_host(&state, &seed).await;
@@ -287,19 +293,19 @@
         let pause = match learn_hosts(&state).await {
             Ok(()) => {
                 state.has_read_hosts.store(true, Ordering::Relaxed);
-                lock(&state.peers).schedule().scale(LEARN_EVERY, LONGEST_LEARN)
+                lock(&state.peers).schedule().scale(HOST_READ_INTERVAL, MAX_HOST_READ_INTERVAL)
             }
             Err(error) => {
                 state.metrics.count_store_failure("hosts");
                 log::debug!(reason = error.to_string().as_str(); "hosts-not-read");
-                LEARN_PAUSE
+                HOST_READ_RETRY_DELAY
             }
         };
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Peer addresses of the seeds: their addresses with this host's peer port.
+/// Returns the peer addresses of the seeds: their IP addresses with the peer port of this host.
 fn seed_addresses(state: &GatewayState) -> Vec<Name> {
     let Ok(own) = state.me.address.parse::<SocketAddr>() else { return vec![] };
     let seeds = state.settings.seeds.iter().filter_map(|seed| seed.parse::<SocketAddr>().ok());
@@ -307,33 +313,33 @@
     others.filter(|seed| *seed != own).map(|seed| seed.to_string().into()).collect()
 }
 
-async fn keep_up(state: Arc<GatewayState>) {
+async fn run_upkeep(state: Arc<GatewayState>) {
     let mut silent = Vec::new();
     let mut turn = 0u32;
     loop {
-        tokio::time::sleep(UPKEEP_EVERY).await;
+        tokio::time::sleep(UPKEEP_INTERVAL).await;
         forget_silent(&state, &mut silent);
         drop_missing_targets(&state, Instant::now());
         state.connections.close_expired();
         turn = turn.wrapping_add(1);
-        if turn.is_multiple_of(LOAD_LINE_EVERY) {
+        if turn.is_multiple_of(LOAD_LOG_TURNS) {
             log_load(&state);
         }
     }
 }
 
-/// One line with what this host believes of the load, for whoever asks later why it decided so.
+/// Logs the load as recorded by this host, which explains its decisions.
 fn log_load(state: &GatewayState) {
     let now = Instant::now();
-    let (heard, all) = lock(&state.peers).count_alive(now);
+    let (alive_hosts, known_hosts) = lock(&state.peers).count_alive(now);
     let (online, batch, own_online, own_batch, slots) = lock(&state.placement).load();
     let jobs = lock(&state.jobs);
-    let (held, waiting) = (jobs.jobs().count(), jobs.waiting(now));
+    let (held_jobs, waiting_items) = (jobs.jobs().count(), jobs.waiting(now));
     drop(jobs);
     log::info!(
         online = online, batch = batch, own_online = own_online, own_batch = own_batch,
-        slots = slots, held_jobs = held, waiting_items = waiting, heard_hosts = heard,
-        known_hosts = all;
+        slots = slots, held_jobs = held_jobs, waiting_items = waiting_items,
+        heard_hosts = alive_hosts, known_hosts = known_hosts;
         "load"
     );
 }
--- a/crates/cuminramp-gateway/src/metrics.rs
+++ b/crates/cuminramp-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, and the text that a scraper reads.
+//! Metrics of a gateway, and their text format for scrapers.
 
 use std::time::Duration;
 
@@ -7,8 +7,9 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// Bounds of the buckets of times, in seconds; closest around the usual objective of 0.3 s.
-const TIME_BOUNDS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.075, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0];
+/// Bucket bounds of duration histograms, in seconds; closest around the usual objective of 0.3 s.
+const DURATION_BUCKETS_S: [f64; 12] =
+    [0.005, 0.01, 0.025, 0.05, 0.075, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0];
 
 /// The instruments of a gateway.
 pub(crate) struct GatewayMetrics {
@@ -18,47 +19,47 @@
     refusals: Counter<u64>,
     attempts: Counter<u64>,
     items: Counter<u64>,
-    store_calls: Counter<u64>,
+    store_failures: Counter<u64>,
     first_event: Histogram<f64>,
     answer: Histogram<f64>,
     acceptance: Histogram<f64>,
     placement: Histogram<f64>,
     declarations: Gauge<u64>,
-    heard_hosts: Gauge<u64>,
+    alive_hosts: Gauge<u64>,
     held_jobs: Gauge<u64>,
     drained_zones: Gauge<u64>,
 }
 
 impl GatewayMetrics {
-    /// Instruments with a registry of their own.
+    /// Creates the instruments with a registry of their own.
     pub(crate) fn new() -> Result<Self, Box<dyn std::error::Error + Send + Sync>> {
         let registry = Registry::new();
         let exporter =
             opentelemetry_prometheus::exporter().with_registry(registry.clone()).build()?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("cuminramp");
-        let counter = |name: &'static str, about: &'static str| {
-            meter.u64_counter(name).with_description(about).build()
+        let counter = |name: &'static str, description: &'static str| {
+            meter.u64_counter(name).with_description(description).build()
         };
-        let gauge = |name: &'static str, about: &'static str| {
-            meter.u64_gauge(name).with_description(about).build()
+        let gauge = |name: &'static str, description: &'static str| {
+            meter.u64_gauge(name).with_description(description).build()
         };
-        let times = |name: &'static str, about: &'static str| {
-            let histogram = meter.f64_histogram(name).with_unit("s").with_description(about);
-            histogram.with_boundaries(TIME_BOUNDS.to_vec()).build()
+        let histogram = |name: &'static str, description: &'static str| {
+            let builder = meter.f64_histogram(name).with_unit("s").with_description(description);
+            builder.with_boundaries(DURATION_BUCKETS_S.to_vec()).build()
         };
         Ok(GatewayMetrics {
             requests: counter("cuminramp.requests", "Requests by outcome"),
             refusals: counter("cuminramp.refusals", "Refusals by code"),
             attempts: counter("cuminramp.attempts", "Sends to targets by outcome"),
             items: counter("cuminramp.items", "Runs of batch items by outcome"),
-            store_calls: counter("cuminramp.store.failures", "Calls to the store that failed"),
-            first_event: times("cuminramp.first.event", "From a request to its first event"),
-            answer: times("cuminramp.answer", "From a request to the end of its answer"),
-            acceptance: times("cuminramp.acceptance", "From a job to its acceptance"),
-            placement: times("cuminramp.placement", "Search for a slot, by who chose it"),
+            store_failures: counter("cuminramp.store.failures", "Calls to the store that failed"),
+            first_event: histogram("cuminramp.first.event", "From a request to its first event"),
+            answer: histogram("cuminramp.answer", "From a request to the end of its answer"),
+            acceptance: histogram("cuminramp.acceptance", "From a job to its acceptance"),
+            placement: histogram("cuminramp.placement", "Search for a slot, by who chose it"),
             declarations: gauge("cuminramp.declarations", "Version of the declarations in force"),
-            heard_hosts: gauge("cuminramp.hosts.heard", "Hosts heard lately, this one included"),
+            alive_hosts: gauge("cuminramp.hosts.heard", "Hosts heard lately, this one included"),
             held_jobs: gauge("cuminramp.jobs.held", "Jobs that this host works on"),
             drained_zones: gauge("cuminramp.zones.drained", "Zones whose targets get nothing new"),
             registry,
@@ -87,7 +88,7 @@
     }
 
     pub(crate) fn count_store_failure(&self, call: &'static str) {
-        self.store_calls.add(1, &[KeyValue::new("call", call)]);
+        self.store_failures.add(1, &[KeyValue::new("call", call)]);
     }
 
     pub(crate) fn note_first_event(&self, time: Duration) {
@@ -102,9 +103,9 @@
         self.acceptance.record(time.as_secs_f64(), &[]);
     }
 
-    pub(crate) fn note_state(&self, declarations: u64, heard_hosts: usize, held_jobs: usize) {
+    pub(crate) fn note_state(&self, declarations: u64, alive_hosts: usize, held_jobs: usize) {
         self.declarations.record(declarations, &[]);
-        self.heard_hosts.record(heard_hosts as u64, &[]);
+        self.alive_hosts.record(alive_hosts as u64, &[]);
         self.held_jobs.record(held_jobs as u64, &[]);
     }
 
@@ -112,7 +113,7 @@
         self.drained_zones.record(zones as u64, &[]);
     }
 
-    /// The text for a scraper.
+    /// Returns the metrics in the text format for scrapers.
     pub(crate) fn render(&self) -> Result<Vec<u8>, prometheus::Error> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
--- a/crates/cuminramp-gateway/src/state.rs
+++ b/crates/cuminramp-gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a gateway share.
+//! State shared by the parts of a gateway.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -24,25 +24,25 @@
 use crate::sync::{RelayedStore, UpdateRows};
 use crate::targets::TargetConnections;
 
-/// How long the store is asked whether it answers a host that hears few others: callers want to know of
-/// a job's acceptance within half a second or so, and another host needs the rest of it.
-const CUT_OFF_CHECK: Duration = Duration::from_millis(150);
+/// Timeout for checking whether the store answers a host that receives heartbeats from few others. Callers
+/// expect the acceptance of a job within about half a second, and another host needs the rest of that time.
+const STORE_CHECK_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Takes a lock; a holder that panicked left nothing half done that matters here.
+/// Locks a mutex, even a poisoned one: a thread that panicked leaves no partial change that matters here.
 pub(crate) fn lock<T: ?Sized>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Everything the parts share. Each lock is held only while something is decided, never across a
-/// wait.
+/// State shared by the parts of a gateway. Each lock is held only for a decision, never across an `await`.
 pub(crate) struct GatewayState {
     pub(crate) settings: GatewaySettings,
+    /// This host, as its heartbeats describe it.
     pub(crate) me: KnownHost,
-    /// The store, by way of other hosts where it does not answer this one.
+    /// The store, called through other hosts while it does not answer this one.
     pub(crate) store: Arc<dyn FleetStore>,
-    /// The same, to ask whether the store answers this host.
+    /// The same object as `store`, by its own type, for checks of whether the store answers this host.
     pub(crate) relay: Arc<RelayedStore>,
-    /// The store itself.
+    /// The store, called by this host alone.
     pub(crate) direct_store: Arc<dyn FleetStore>,
     pub(crate) clients: PeerClients,
     pub(crate) calls: Arc<dyn CallFormat>,
@@ -52,7 +52,7 @@
     pub(crate) regions: RegionMap,
     pub(crate) quota: Mutex<QuotaTable>,
     pub(crate) placement: Mutex<PlacementTable>,
-    /// Requests that broke targets.
+    /// Crash counts of requests, from which poison requests are detected.
     pub(crate) crashes: Mutex<CrashTable>,
     pub(crate) peers: Mutex<PeerTable>,
     pub(crate) jobs: Mutex<JobTable>,
@@ -66,60 +66,67 @@
     pub(crate) slots: SlotState,
     pub(crate) socket: OnceLock<HostSocket>,
     pub(crate) heartbeat_sequence: AtomicU64,
-    /// Whether the table of hosts was read since the start; until then others are asked for hosts.
+    /// Whether the table of hosts was read since the start. Until then, join requests ask for known hosts.
     pub(crate) has_read_hosts: AtomicBool,
-    /// One question for news at a time.
+    /// Limits requests for updates to one at a time.
     pub(crate) asks_for_updates: Semaphore,
+    /// Notified when the next heartbeats are to be sent soon.
     pub(crate) heartbeat_wanted: Notify,
+    /// Notified when slots are to be requested for waiting items.
     pub(crate) items_wanted: Notify,
     pub(crate) started: Instant,
     pub(crate) is_draining: AtomicBool,
+    /// Whether the drain has ended; the last heartbeats report it.
     pub(crate) has_left: AtomicBool,
+    /// Tracks calls and requests in progress, so that the drain can wait for them.
     pub(crate) tasks: TaskTracker,
-    /// Cancelled when the host leaves: batch work ends, callers are served on.
+    /// Cancelled when the host starts to drain: batch work ends, callers are still served.
     pub(crate) drain: CancellationToken,
-    /// Cancelled when connections of callers close as soon as they are idle.
+    /// Cancelled during the drain, to close callers' connections from then on as soon as they are idle.
     pub(crate) drain_idle: CancellationToken,
-    /// Cancelled when the process ends.
+    /// Cancelled when the gateway stops.
     pub(crate) stop: CancellationToken,
 }
 
 impl GatewayState {
-    /// This run.
+    /// Returns the address and incarnation of this run.
     pub(crate) fn id(&self) -> HostId {
         HostId { address: self.me.address.clone(), incarnation: self.me.incarnation }
     }
 
-    /// The declarations in force.
+    /// Returns the declarations in force; `None` until some were read.
     pub(crate) fn declared(&self) -> Option<Arc<FleetDeclarations>> {
         lock(&self.declarations).current().cloned()
     }
 
-    /// Whether the host takes callers.
+    /// Whether the host is ready for callers: it has declarations and does not drain.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_draining() && lock(&self.declarations).current().is_some()
     }
 
-    /// Whether this host is cut off from most hosts and from the store, so that another one is likely to do
-    /// what it can't. Where most hosts are heard and the store answers none of them, waiting is better.
+    /// Whether this host is cut off from most hosts and from the store, so that another host probably can do
+    /// what this one can't.
+    ///
+    /// While heartbeats from most hosts arrive, this returns `false` even if the store does not answer: if it
+    /// answers none of these hosts, waiting is better than sending the caller to another one.
     pub(crate) async fn is_cut_off(&self) -> bool {
         if lock(&self.peers).has_majority(Instant::now()) {
             return false;
         }
-        !self.relay.is_reached() || !self.relay.answers_within(CUT_OFF_CHECK).await
+        !self.relay.is_reached() || !self.relay.answers_within(STORE_CHECK_TIMEOUT).await
     }
 
-    /// Whether the host is about to leave.
+    /// Whether the host drains before it leaves.
     pub(crate) fn is_draining(&self) -> bool {
         self.is_draining.load(Ordering::Relaxed)
     }
 
-    /// Tells other hosts soon that something changed.
+    /// Sends heartbeats to the other hosts soon, to report a change.
     pub(crate) fn request_heartbeat(&self) {
         self.heartbeat_wanted.notify_one();
     }
 
-    /// A number to spread work by.
+    /// Returns a random number below `bound`, used to spread work.
     pub(crate) fn draw(&self, bound: usize) -> usize {
         lock(&self.random).below(bound)
     }
