--- a/crates/cuminramp-gateway/src/sync/relay.rs
+++ b/crates/cuminramp-gateway/src/sync/relay.rs
@@ -1,9 +1,9 @@
-//! The store, directly or by another host.
+//! Calls the store directly, or through another host.
 //!
-//! The store may turn a single host away, or be out of its reach, while it serves the others. The
-//! jobs that the host holds could then not be listed, ended or read for as long as that lasts; one
-//! would see results that come late although every item was done. Other hosts are in reach, and one
-//! of them makes the call.
+//! The store may reject a single host, or be unreachable from it, while it serves the others. Without
+//! the relay, jobs that the host holds could not be listed, ended or read during that time, and their
+//! results would come late although every item was done. A host that reaches the store makes the call
+//! instead.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, OnceLock, Weak};
@@ -25,51 +25,53 @@
 use crate::interfaces::FleetStore;
 use crate::state::{GatewayState, lock};
 
-/// What a call by another host may take: its own limit for a call of objects, and the way.
-const CALL_LIMIT: Duration = Duration::from_millis(3_000);
-/// What a watch may take beyond the time that it waits.
+/// Timeout of a call through another host: that host's own limit for an object call, plus the network
+/// round trip.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Time that a relayed watch may take beyond its own wait.
 const WATCH_MARGIN: Duration = Duration::from_millis(1_000);
-/// Between two tries to reach the store again.
-const PROBE_EVERY: Duration = Duration::from_millis(400);
+/// Interval between two attempts to reach the store again.
+const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Calls the store, and asks other hosts to call it while it does not answer this one.
+/// Calls the store, through another host while the store does not answer this one.
 pub(crate) struct RelayedStore {
     direct: Arc<dyn FleetStore>,
     state: OnceLock<Weak<GatewayState>>,
+    /// Whether a direct call has failed; [`probe`] clears it when the store answers again.
     is_lost: AtomicBool,
 }
 
 impl RelayedStore {
-    /// Calls `direct` first.
+    /// Creates a store that calls `direct` and cannot relay until [`attach`](Self::attach) is called.
     pub(crate) fn new(direct: Arc<dyn FleetStore>) -> Self {
         RelayedStore { direct, state: OnceLock::new(), is_lost: AtomicBool::new(false) }
     }
 
-    /// Tells it who the other hosts are.
+    /// Sets the gateway state, which holds the other hosts and the connections to them.
     pub(crate) fn attach(&self, state: &Arc<GatewayState>) {
-        // Set once, right after the state was made.
+        // Called once, right after the state is created, so it is never set already.
         let _ = self.state.set(Arc::downgrade(state));
     }
 
-    /// Whether the store answers this host.
+    /// Returns whether the store answers this host, as of the last direct call.
     pub(crate) fn is_reached(&self) -> bool {
         !self.is_lost.load(Ordering::Relaxed)
     }
 
-    /// Asks the store whether it answers this host now.
+    /// Makes a small read and returns whether the store answers this host within `limit`.
     pub(crate) async fn answers_within(&self, limit: Duration) -> bool {
         let Some(state) = self.state() else { return false };
         let key = host_key(&state);
-        let asked = self.direct.read(std::slice::from_ref(&key));
-        match tokio::time::timeout(limit, asked).await {
+        let reading = self.direct.read(std::slice::from_ref(&key));
+        match tokio::time::timeout(limit, reading).await {
             Ok(Ok(_)) => true,
             Ok(Err(error)) => {
-                self.note_failure(&error);
+                self.record_failure(&error);
                 false
             }
             Err(_) => {
                 let reason = format!("no answer within {} ms", limit.as_millis());
-                self.note_failure(&StoreError::Unknown(reason));
+                self.record_failure(&StoreError::Unknown(reason));
                 false
             }
         }
@@ -79,8 +81,8 @@
         self.state.get()?.upgrade()
     }
 
-    /// Takes note of a failed call and begins to try again.
-    fn note_failure(&self, error: &StoreError) {
+    /// Records a failed direct call and starts probing the store, unless it is already being probed.
+    fn record_failure(&self, error: &StoreError) {
         if self.is_lost.swap(true, Ordering::Relaxed) {
             return;
         }
@@ -90,7 +92,7 @@
         tokio::spawn(probe(state));
     }
 
-    /// Has another host make a call; `None` where none can.
+    /// Makes a call through another host. Returns `None` if no live host reaches the store.
     async fn relay(&self, call: Call, limit: Duration) -> Option<Result<StoreReply, StoreError>> {
         let state = self.state()?;
         let spread = state.draw(usize::MAX >> 1);
@@ -98,7 +100,7 @@
         let call = StoreCall { call: Some(call) };
         let reply = match state.clients.call_store(&peer, call, limit).await {
             Some(reply) => reply,
-            None => return Some(Err(StoreError::Unknown(format!("{peer} gave no answer")))),
+            None => return Some(Err(StoreError::Unknown(format!("{peer} did not reply")))),
         };
         Some(match (reply.is_failed, reply.is_not_done) {
             (false, _) => Ok(reply),
@@ -107,7 +109,10 @@
         })
     }
 
-    /// Makes a call that may be repeated: directly, and by another host if that fails.
+    /// Makes a call that is safe to repeat: directly, then through another host if that fails.
+    ///
+    /// While the store is unreachable, the order is reversed: the direct call is made only if no other host
+    /// reaches the store.
     async fn call<T>(
         &self,
         direct: impl Future<Output = Result<T, StoreError>>,
@@ -119,7 +124,7 @@
             match direct.await {
                 Ok(value) => return Ok(value),
                 Err(error) => {
-                    self.note_failure(&error);
+                    self.record_failure(&error);
                     return match self.relay(call, limit).await {
                         Some(outcome) => outcome.map(read),
                         None => Err(error),
@@ -134,35 +139,38 @@
     }
 }
 
-/// This host's own row: a small one to ask for.
+/// Returns the key of this host's own row, which is small and thus a cheap read to probe the store with.
 fn host_key(state: &GatewayState) -> String {
     format!("hosts//{}", state.me.address)
 }
 
-/// Tries to reach the store until it answers.
+/// Retries a small read until the store answers or the gateway stops.
 async fn probe(state: Arc<GatewayState>) {
     let key = host_key(&state);
-    let began = Instant::now();
+    let started_at = Instant::now();
     while state.direct_store.read(std::slice::from_ref(&key)).await.is_err() {
         tokio::select! {
-            () = tokio::time::sleep(PROBE_EVERY) => {}
+            () = tokio::time::sleep(PROBE_INTERVAL) => {}
             () = state.stop.cancelled() => return,
         }
     }
     state.relay.is_lost.store(false, Ordering::Relaxed);
-    log::info!(after_ms = began.elapsed().as_millis() as u64; "store-in-reach");
+    log::info!(after_ms = started_at.elapsed().as_millis() as u64; "store-in-reach");
     state.request_heartbeat();
 }
 
+/// Converts a row of the store to a wire row.
 fn pack(row: &Row) -> StoreRow {
     let row = NewsRow { key: row.key.clone(), value: row.value.to_vec(), version: row.version };
     StoreRow { row: Some(row), is_absent: false }
 }
 
+/// Converts a wire row to a row of the store.
 fn unpack(row: NewsRow) -> Row {
     Row { key: row.key, value: Bytes::from(row.value), version: row.version }
 }
 
+/// Returns the rows of a reply, without the absent ones.
 fn present_rows(reply: StoreReply) -> Vec<Row> {
     reply.rows.into_iter().filter_map(|row| row.row).map(unpack).collect()
 }
@@ -172,14 +180,14 @@
     async fn read(&self, keys: &[String]) -> Result<Vec<Option<Row>>, StoreError> {
         let call = Call::Read(ReadCall { keys: keys.to_vec() });
         let count = keys.len();
-        let rows = self.call(self.direct.read(keys), call, CALL_LIMIT, |reply| {
+        let rows = self.call(self.direct.read(keys), call, RELAY_TIMEOUT, |reply| {
             let rows = reply.rows.into_iter();
             rows.map(|row| row.row.filter(|_| !row.is_absent).map(unpack)).collect::<Vec<_>>()
         });
         let rows = rows.await?;
         match rows.len() == count {
             true => Ok(rows),
-            false => Err(StoreError::Unknown("the answer has another number of rows".into())),
+            false => Err(StoreError::Unknown("the reply has a wrong number of rows".into())),
         }
     }
 
@@ -189,26 +197,29 @@
             after: after.into(),
             limit: limit as u64,
         });
-        self.call(self.direct.scan(prefix, after, limit), call, CALL_LIMIT, present_rows).await
+        self.call(self.direct.scan(prefix, after, limit), call, RELAY_TIMEOUT, present_rows).await
     }
 
-    /// A commit is made by another host only where it surely had no effect directly: otherwise the
-    /// caller reads back first what became of it.
+    /// Commits directly, and through another host only if the direct commit certainly had no effect. If its
+    /// outcome is unknown, the caller has to read the rows back first.
     async fn commit(&self, transaction: Transaction) -> Result<CommitOutcome, StoreError> {
         if self.is_reached() {
             match self.direct.commit(transaction.clone()).await {
                 Ok(outcome) => return Ok(outcome),
                 Err(error @ StoreError::Unknown(_)) => {
-                    self.note_failure(&error);
+                    self.record_failure(&error);
                     return Err(error);
                 }
-                Err(error) => self.note_failure(&error),
+                Err(error) => self.record_failure(&error),
             }
         }
         let conditions = transaction.conditions.iter();
         let call = Call::Commit(CommitCall {
             conditions: conditions
-                .map(|held| RowCondition { key: held.key.clone(), version: held.version })
+                .map(|condition| RowCondition {
+                    key: condition.key.clone(),
+                    version: condition.version,
+                })
                 .collect(),
             puts: transaction
                 .puts
@@ -217,7 +228,7 @@
                 .collect(),
             deletes: transaction.deletes.clone(),
         });
-        match self.relay(call, CALL_LIMIT).await {
+        match self.relay(call, RELAY_TIMEOUT).await {
             Some(outcome) => outcome.map(|reply| match reply.conflicts.is_empty() {
                 true => CommitOutcome::Committed(reply.version),
                 false => CommitOutcome::Conflict(reply.conflicts),
@@ -235,7 +246,7 @@
             let version = reply.version;
             TableSnapshot { rows: present_rows(reply), version }
         };
-        self.call(self.direct.snapshot(table), call, CALL_LIMIT, read).await
+        self.call(self.direct.snapshot(table), call, RELAY_TIMEOUT, read).await
     }
 
     async fn watch(
@@ -265,15 +276,16 @@
 impl ObjectStore for RelayedStore {
     async fn put(&self, name: &str, body: Bytes) -> Result<(), StoreError> {
         let call = Call::Put(PutCall { name: name.into(), body: body.to_vec() });
-        self.call(self.direct.put(name, body), call, CALL_LIMIT, |_| ()).await
+        self.call(self.direct.put(name, body), call, RELAY_TIMEOUT, |_| ()).await
     }
 
     async fn get(&self, name: &str) -> Result<Option<Bytes>, StoreError> {
         let call = Call::Get(GetCall { name: name.into() });
         let read = |reply: StoreReply| reply.has_object.then(|| Bytes::from(reply.object));
-        self.call(self.direct.get(name), call, CALL_LIMIT, read).await
+        self.call(self.direct.get(name), call, RELAY_TIMEOUT, read).await
     }
 
+    /// Reads directly only: there is no relayed call for parts of an object.
     async fn get_range(
         &self,
         name: &str,
@@ -283,16 +295,17 @@
         self.direct.get_range(name, start, end).await
     }
 
+    /// Deletes directly only: there is no relayed call for it.
     async fn delete(&self, name: &str) -> Result<(), StoreError> {
         self.direct.delete(name).await
     }
 }
 
-/// Makes a call of the store for another host.
+/// Makes a direct store call on behalf of another host.
 pub(crate) async fn answer_store_call(state: &GatewayState, call: StoreCall) -> StoreReply {
     let outcome = match call.call {
-        Some(call) => make_call(&*state.direct_store, call).await,
-        None => Err(StoreError::Unavailable("an unknown call".into())),
+        Some(call) => execute_call(&*state.direct_store, call).await,
+        None => Err(StoreError::Unavailable("the call has no known type".into())),
     };
     outcome.unwrap_or_else(|error| StoreReply {
         is_failed: true,
@@ -302,7 +315,7 @@
     })
 }
 
-async fn make_call(store: &dyn FleetStore, call: Call) -> Result<StoreReply, StoreError> {
+async fn execute_call(store: &dyn FleetStore, call: Call) -> Result<StoreReply, StoreError> {
     let mut reply = StoreReply::default();
     match call {
         Call::Read(call) => {
@@ -351,7 +364,7 @@
     let conditions = call.conditions.into_iter();
     Transaction {
         conditions: conditions
-            .map(|held| Condition { key: held.key, version: held.version })
+            .map(|condition| Condition { key: condition.key, version: condition.version })
             .collect(),
         puts: call.puts.into_iter().map(|row| (row.key, Bytes::from(row.value))).collect(),
         deletes: call.deletes,
