--- a/crates/cuminramp-gateway/src/sync/hosts.rs
+++ b/crates/cuminramp-gateway/src/sync/hosts.rs
@@ -1,4 +1,4 @@
-//! This host's row in the table, and those of others.
+//! Maintains this host's row in the hosts table and discovers other hosts by theirs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,16 +12,17 @@
 use crate::peers::greet_host;
 use crate::state::{GatewayState, lock};
 
-/// The table of hosts.
-const TABLE: &str = "hosts";
-/// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Name of the hosts table.
+const HOSTS_TABLE: &str = "hosts";
+/// Delay before a failed write is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
+/// Returns the key of a host's row.
 fn key_of(address: &str) -> String {
-    format!("{TABLE}//{address}")
+    format!("{HOSTS_TABLE}//{address}")
 }
 
-/// Writes this host's row, again until it stands there.
+/// Writes this host's row and retries until the write succeeds.
 pub(crate) async fn announce_host(state: Arc<GatewayState>) {
     let me = &state.me;
     let row = HostRow {
@@ -34,14 +35,14 @@
     while let Err(error) = state.store.commit(transaction.clone()).await {
         let reason = error.to_string();
         log::warn!(reason = reason.as_str(); "host-not-announced");
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     log::info!(address = &*me.address, incarnation = me.incarnation; "host-announced");
 }
 
-/// Reads the rows of all hosts and greets those that are new.
+/// Reads the rows of all hosts and sends a join request to each new one.
 pub(crate) async fn learn_hosts(state: &Arc<GatewayState>) -> Result<(), StoreError> {
-    let snapshot = state.store.snapshot(TABLE).await?;
+    let snapshot = state.store.snapshot(HOSTS_TABLE).await?;
     for row in snapshot.rows {
         let host = match decode_row::<HostRow>(&row.value) {
             Ok(host) => host,
@@ -65,7 +66,8 @@
     Ok(())
 }
 
-/// Deletes this host's row when it leaves; best effort, since a row left behind is only a name.
+/// Deletes this host's row when it leaves. A failure is only logged: a leftover row merely names
+/// an address, and heartbeats decide whether a host is alive.
 pub(crate) async fn withdraw_host(state: &Arc<GatewayState>) {
     let transaction =
         Transaction { deletes: vec![key_of(&state.me.address)], ..Transaction::default() };
