--- a/crates/cuminramp-gateway/src/peers/clock.rs
+++ b/crates/cuminramp-gateway/src/peers/clock.rs
@@ -1,4 +1,4 @@
-//! Notices that this host stood still.
+//! Detects that this host was paused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,41 +8,42 @@
 
 use crate::state::{GatewayState, lock};
 
-/// Between two looks at the clocks.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// A host that was away for longer doubts what it believes. Heartbeats come every 100 ms, so less is
-/// ordinary lateness.
-const PAUSE_LIMIT: Duration = Duration::from_millis(400);
+/// Interval between two clock checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum lateness of a clock check that counts as a pause of the host. Heartbeats come every 100 ms, so a
+/// shorter one is ordinary.
+const MIN_PAUSE: Duration = Duration::from_millis(400);
 
+/// Returns the time since boot, including time in which the host was suspended.
 fn boot_time() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
 }
 
-/// Looks at the clocks until the gateway stops.
+/// Checks for pauses of this host and resets outdated state after each. Runs until its task is cancelled.
 ///
-/// A host that is suspended wakes with buckets and beliefs from before, while others went on for
-/// seconds; its team's callers would get their burst twice. The steady clock may not count the time,
-/// so the clock that counts it is compared.
+/// A host that was suspended resumes with the token buckets and liveness records from before the pause,
+/// while the others went on for seconds. Without a reset, its teams' callers would get their burst twice.
+/// The monotonic clock may stop during the pause, so the check uses the boot clock, which does not.
 pub(crate) async fn watch_pauses(state: Arc<GatewayState>) {
     let mut last = boot_time();
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
-        let present = boot_time();
-        let away = present.saturating_sub(last);
-        last = present;
-        if away < LOOK_EVERY + PAUSE_LIMIT {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        let now_since_boot = boot_time();
+        let elapsed = now_since_boot.saturating_sub(last);
+        last = now_since_boot;
+        if elapsed < CHECK_INTERVAL + MIN_PAUSE {
             continue;
         }
-        log::warn!(away_ms = away.as_millis() as u64; "paused");
+        log::warn!(away_ms = elapsed.as_millis() as u64; "paused");
         let now = Instant::now();
         let mut peers = lock(&state.peers);
         peers.reset_liveness();
-        let (heard, all) = peers.count_alive(now);
+        let (alive, all) = peers.count_alive(now);
         drop(peers);
         let mut quota = lock(&state.quota);
         quota.reset(now);
-        quota.set_alive_share(heard, all);
+        quota.set_alive_share(alive, all);
         drop(quota);
         state.slots.reset(&state);
         state.request_heartbeat();
