--- a/crates/cuminramp-gateway/src/peers/socket/tests.rs
+++ b/crates/cuminramp-gateway/src/peers/socket/tests.rs
@@ -61,19 +61,20 @@
 }
 
 proptest! {
-    /// Datagrams of any kind arrive at the port of hosts. None may stop the host.
+    /// Guards against a panic while decoding a datagram: arbitrary bytes may arrive at the hosts' port, and a
+    /// panic would end the receiving task.
     #[test]
-    fn no_datagram_makes_the_reader_fail_otherwise(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = postcard::from_bytes::<HostMessage>(&bytes);
     }
 
-    /// A message that was cut short on its way is none: taken in part, a heartbeat or report would say that
-    /// its host has nothing in flight.
+    /// Guards against accepting a part of a truncated message: a truncated heartbeat or report would state
+    /// that its host has nothing in flight.
     #[test]
-    fn a_message_that_was_cut_is_not_taken(kept in 0_usize..10_000, which in 0_usize..6) {
+    fn a_truncated_message_is_rejected(length in 0_usize..10_000, which in 0_usize..6) {
         let bytes = postcard::to_allocvec(&messages()[which]).unwrap();
 
-        let read = postcard::from_bytes::<HostMessage>(&bytes[..kept % bytes.len()]);
+        let read = postcard::from_bytes::<HostMessage>(&bytes[..length % bytes.len()]);
 
         prop_assert!(read.is_err());
     }
