--- a/crates/cuminramp-gateway/src/peers/calls.rs
+++ b/crates/cuminramp-gateway/src/peers/calls.rs
@@ -1,4 +1,4 @@
-//! Calls between hosts that need an answer.
+//! Calls between hosts that need a reply: requests for updates and relayed store calls.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -18,21 +18,22 @@
 use crate::state::{GatewayState, lock};
 use crate::sync::{answer_store_call, answer_updates};
 
-/// The largest message; declarations of thousands of routes take a few megabytes, an object eight.
-const MOST_FRAME_BYTES: usize = 32 << 20;
-/// How long a question for news may take.
-const NEWS_LIMIT: Duration = Duration::from_millis(700);
-/// Until a connection to another host stands.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// A connection on which no call came for so long is closed.
-const IDLE_LIMIT: Duration = Duration::from_secs(10);
+/// Maximum size of a message. Declarations of thousands of routes have a few megabytes, an object eight.
+const MAX_FRAME_BYTES: usize = 32 << 20;
+/// Timeout of a request for updates.
+const UPDATES_TIMEOUT: Duration = Duration::from_millis(700);
+/// Timeout for opening a connection to another host.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout after which a connection without calls is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
+/// Answers calls from other hosts.
 #[derive(Clone)]
-struct FleetAnswers {
+struct FleetServer {
     state: Arc<GatewayState>,
 }
 
-impl FleetService for FleetAnswers {
+impl FleetService for FleetServer {
     async fn news(self, _: Context, request: Encoded<NewsRequest>) -> Encoded<NewsReply> {
         Encoded(answer_updates(&self.state, &request.0))
     }
@@ -42,20 +43,20 @@
     }
 }
 
-/// Serves other hosts until the gateway stops.
+/// Serves calls from other hosts until the gateway stops.
 pub(crate) async fn serve_calls(state: Arc<GatewayState>, listener: TcpListener) {
     while let Some(stream) = accept_next(&listener, &state.stop).await {
         let framed =
-            LengthDelimitedCodec::builder().max_frame_length(MOST_FRAME_BYTES).new_framed(stream);
+            LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream);
         let transport = tarpc::serde_transport::new(framed, Bincode::default());
-        let answers = FleetAnswers { state: state.clone() };
+        let server = FleetServer { state: state.clone() };
         let stop = state.stop.clone();
         tokio::spawn(async move {
-            let calls = BaseChannel::with_defaults(transport).execute(answers.serve());
+            let calls = BaseChannel::with_defaults(transport).execute(server.serve());
             tokio::pin!(calls);
             loop {
                 let next = tokio::select! {
-                    next = tokio::time::timeout(IDLE_LIMIT, calls.next()) => next,
+                    next = tokio::time::timeout(IDLE_TIMEOUT, calls.next()) => next,
                     () = stop.cancelled() => return,
                 };
                 let Ok(Some(call)) = next else { return };
@@ -65,28 +66,30 @@
     }
 }
 
-/// Connections to other hosts, one each; one that gave no answer is thrown away, since something
-/// between the hosts may have lost track of it.
+/// Holds one connection to each other host. A connection on which a call failed is dropped, since a device
+/// on the path between the hosts may have lost the connection's state.
 #[derive(Default)]
 pub(crate) struct PeerClients {
     clients: Mutex<SortedMap<Name, FleetServiceClient>>,
 }
 
 impl PeerClients {
+    /// Returns the client of a host and connects to it if necessary. Returns `None` if that fails.
     async fn client(&self, address: &Name) -> Option<FleetServiceClient> {
         if let Some(client) = lock(&self.clients).get(address) {
             return Some(client.clone());
         }
         let mut connecting =
             tarpc::serde_transport::tcp::connect(address.to_string(), Bincode::default);
-        connecting.config_mut().max_frame_length(MOST_FRAME_BYTES);
-        let transport = tokio::time::timeout(CONNECT_LIMIT, connecting).await.ok()?.ok()?;
+        connecting.config_mut().max_frame_length(MAX_FRAME_BYTES);
+        let transport = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()?;
         let client = FleetServiceClient::new(Config::default(), transport).spawn();
         lock(&self.clients).insert(address.clone(), client.clone());
         Some(client)
     }
 
-    fn keep<T>(&self, address: &Name, outcome: Result<Encoded<T>, RpcError>) -> Option<T> {
+    /// Returns the reply of a call. Drops the connection if the call failed.
+    fn reply_or_drop<T>(&self, address: &Name, outcome: Result<Encoded<T>, RpcError>) -> Option<T> {
         match outcome {
             Ok(reply) => Some(reply.0),
             Err(error) => {
@@ -97,30 +100,34 @@
         }
     }
 
-    /// Asks a host for what this one lacks.
-    pub(crate) async fn ask_news(&self, address: &Name, request: NewsRequest) -> Option<NewsReply> {
+    /// Requests the declarations and targets that are newer at another host.
+    pub(crate) async fn fetch_updates(
+        &self,
+        address: &Name,
+        request: NewsRequest,
+    ) -> Option<NewsReply> {
         let client = self.client(address).await?;
-        let outcome = client.news(call_context(NEWS_LIMIT), Encoded(request)).await;
-        self.keep(address, outcome)
+        let outcome = client.news(call_context(UPDATES_TIMEOUT), Encoded(request)).await;
+        self.reply_or_drop(address, outcome)
     }
 
-    /// Asks a host to make a call of the store. `None` where it did not answer: the call may have
-    /// been made.
+    /// Has another host make a store call. Returns `None` if that host did not reply, in which case the store
+    /// call may have been made.
     pub(crate) async fn call_store(
         &self,
         address: &Name,
         call: StoreCall,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<StoreReply> {
         let client = self.client(address).await?;
-        let outcome = client.call_store(call_context(limit), Encoded(call)).await;
-        self.keep(address, outcome)
+        let outcome = client.call_store(call_context(timeout), Encoded(call)).await;
+        self.reply_or_drop(address, outcome)
     }
 }
 
-/// A deadline as the transport wants it.
-fn call_context(limit: Duration) -> Context {
+/// Returns a call context whose deadline is `timeout` from now.
+fn call_context(timeout: Duration) -> Context {
     let mut context = context::current();
-    context.deadline = std::time::Instant::now() + limit;
+    context.deadline = std::time::Instant::now() + timeout;
     context
 }
--- a/crates/cuminramp-gateway/src/peers/heartbeats.rs
+++ b/crates/cuminramp-gateway/src/peers/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Sends and takes heartbeats.
+//! Sends and handles heartbeats.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,70 +11,76 @@
 use super::socket::{HostSocket, send_to_host};
 use crate::jobs::notice_end;
 use crate::state::{GatewayState, lock};
-use crate::sync::{request_updates, take_drains};
+use crate::sync::{apply_drains, request_updates};
 
-/// Hosts that a whole heartbeat names.
-const KNOWN_IN_HEARTBEAT: usize = 2;
-/// Hosts that a heartbeat names to one that knows hardly any. Named to each host that greets, they would be
-/// most of the bytes of a start of hundreds of hosts.
-const KNOWN_IN_ANSWER: usize = 40;
-/// Every so many heartbeats tell the counts of all teams and name some hosts.
-const WHOLE_EVERY: u64 = 16;
+/// Maximum number of known hosts in a regular full heartbeat.
+const MAX_HOSTS_REGULAR: usize = 2;
+/// Maximum number of known hosts in the response to a join request that asks for them. If every join response
+/// had them, they would make up most of the traffic when hundreds of hosts start.
+const MAX_HOSTS_JOIN_RESPONSE: usize = 40;
+/// Number of heartbeats per full heartbeat, which has the counts of all teams and names some known hosts.
+const HEARTBEATS_PER_FULL: u64 = 16;
 
-/// How long a request that broke targets is told to others; heartbeats that get lost are followed by
-/// some twenty more.
-const TELL_SUSPECTS_FOR: Duration = Duration::from_secs(2);
+/// Time for which heartbeats advertise the crash count of a poison request. A lost heartbeat is followed by
+/// about twenty more in this time.
+const CRASH_COUNT_TTL: Duration = Duration::from_secs(2);
 
-/// Such requests in one heartbeat: some 800 bytes, where all of a mass failure would be more than
-/// receivers read.
-const MOST_SUSPECTS: usize = 64;
+/// Maximum number of crash counts in one heartbeat, about 800 bytes. The counts of a mass failure would
+/// otherwise exceed the receivers' buffer.
+const MAX_CRASH_COUNTS: usize = 64;
 
-/// How long the end of a job is told: a job has to stop within three seconds of its end, and heartbeats
-/// that get lost are followed by others.
-const TELL_ENDS_FOR: Duration = Duration::from_secs(3);
+/// Time for which heartbeats advertise the end of a job. A job has to stop within three seconds of its end,
+/// and a lost heartbeat is followed by others in this time.
+const JOB_END_TTL: Duration = Duration::from_secs(3);
 
-/// Why a heartbeat goes out.
+/// Reason why a heartbeat is sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum HeartbeatKind {
-    /// It is time, or something changed.
-    Usual,
+    /// The heartbeat is due, or the state changed.
+    Regular,
     /// The receiver may not know this host.
-    Greeting {
-        /// Whether this host knows hardly any others.
+    JoinRequest {
+        /// Whether the response should name hosts, since this host has not read the hosts table yet.
         wants_hosts: bool,
     },
-    /// The receiver greeted this host.
-    Answer {
-        /// Whether it asked for hosts.
-        names_hosts: bool,
+    /// The receiver sent a join request.
+    JoinResponse {
+        /// Whether the join request asked for hosts.
+        includes_hosts: bool,
     },
 }
 
+/// Returns a heartbeat with the present state of this host.
 fn make_heartbeat(state: &GatewayState, kind: HeartbeatKind) -> HostHeartbeat {
     let now = Instant::now();
     let sequence = state.heartbeat_sequence.fetch_add(1, Ordering::Relaxed);
-    let is_usage_full = kind != HeartbeatKind::Usual || sequence.is_multiple_of(WHOLE_EVERY);
+    let is_usage_full =
+        kind != HeartbeatKind::Regular || sequence.is_multiple_of(HEARTBEATS_PER_FULL);
     let known_hosts = match kind {
-        HeartbeatKind::Answer { names_hosts: true } => some_known(state, sequence, KNOWN_IN_ANSWER),
-        HeartbeatKind::Usual if is_usage_full => some_known(state, sequence, KNOWN_IN_HEARTBEAT),
+        HeartbeatKind::JoinResponse { includes_hosts: true } => {
+            select_known_hosts(state, sequence, MAX_HOSTS_JOIN_RESPONSE)
+        }
+        HeartbeatKind::Regular if is_usage_full => {
+            select_known_hosts(state, sequence, MAX_HOSTS_REGULAR)
+        }
         _ => vec![],
     };
-    // Each lock is taken and released in a statement of its own: two of one lock in one expression
-    // would stop the host for good.
-    let declarations = lock(&state.declarations).current().map_or(0, |held| held.version());
+    // Each lock is acquired and released in its own statement: acquiring one lock twice in a single
+    // expression would deadlock.
+    let declarations = lock(&state.declarations).current().map_or(0, |current| current.version());
     let targets = lock(&state.updates).targets_version();
     let drains = lock(&state.drains).advertised(is_usage_full, now);
     let quota = lock(&state.quota);
     let (usage, is_settled) = (quota.usage(is_usage_full, now), quota.is_settled(now));
     drop(quota);
-    let suspects = lock(&state.crashes).seen_lately(TELL_SUSPECTS_FOR, MOST_SUSPECTS, now);
+    let crash_counts = lock(&state.crashes).seen_lately(CRASH_COUNT_TTL, MAX_CRASH_COUNTS, now);
     HostHeartbeat {
         host: state.me.clone(),
         sequence,
         is_ready: state.is_ready(),
         has_left: state.has_left.load(Ordering::Relaxed),
-        wants_answer: matches!(kind, HeartbeatKind::Greeting { .. }),
-        wants_hosts: kind == HeartbeatKind::Greeting { wants_hosts: true },
+        wants_answer: matches!(kind, HeartbeatKind::JoinRequest { .. }),
+        wants_hosts: kind == HeartbeatKind::JoinRequest { wants_hosts: true },
         reaches_store: state.relay.is_reached(),
         declarations,
         targets,
@@ -82,25 +88,28 @@
         is_usage_full,
         is_settled,
         known_hosts,
-        ended: state.directory.ended_lately(TELL_ENDS_FOR, now),
+        ended: state.directory.ended_lately(JOB_END_TTL, now),
         drains,
-        crash_counts: suspects
+        crash_counts: crash_counts
             .into_iter()
             .map(|(fingerprint, crashes)| CrashCount { fingerprint, crashes })
             .collect(),
     }
 }
 
-/// Some of the hosts that are known, others each time.
-fn some_known(state: &GatewayState, sequence: u64, most: usize) -> Vec<KnownHost> {
+/// Returns up to `limit` known hosts that have not left. The first one depends on `sequence`, so that all
+/// hosts are named in turn.
+fn select_known_hosts(state: &GatewayState, sequence: u64, limit: usize) -> Vec<KnownHost> {
     let peers = lock(&state.peers);
     let all: Vec<&KnownHost> =
         peers.iter().filter(|record| !record.has_left).map(|record| &record.host).collect();
     let skip = if all.is_empty() { 0 } else { sequence as usize % all.len() };
-    all.iter().cycle().skip(skip).take(most.min(all.len())).map(|host| (*host).clone()).collect()
+    all.iter().cycle().skip(skip).take(limit.min(all.len())).map(|host| (*host).clone()).collect()
 }
 
-fn addresses(state: &GatewayState, is_near: bool) -> Vec<Name> {
+/// Returns the addresses of other hosts that have not left: those in this host's zone if `is_near`, otherwise
+/// those in all other zones.
+fn peer_addresses(state: &GatewayState, is_near: bool) -> Vec<Name> {
     let peers = lock(&state.peers);
     let chosen = peers
         .iter()
@@ -108,75 +117,80 @@
     chosen.map(|record| record.host.address.clone()).collect()
 }
 
-/// Greets a host that may not know this one.
+/// Sends a join request to a host that may not know this one.
 pub(crate) async fn greet_host(state: &Arc<GatewayState>, address: &Name) {
     let wants_hosts = !state.has_read_hosts.load(Ordering::Relaxed);
-    let heartbeat = make_heartbeat(state, HeartbeatKind::Greeting { wants_hosts });
+    let heartbeat = make_heartbeat(state, HeartbeatKind::JoinRequest { wants_hosts });
     send_to_host(state, HostMessage::Heartbeat(heartbeat), address).await;
 }
 
-/// Sends heartbeats until the gateway stops: soon after changes, and at intervals.
+/// Sends heartbeats shortly after changes and at intervals. Runs until its task is cancelled.
 pub(crate) async fn send_heartbeats(state: Arc<GatewayState>) {
     let Some(socket) = state.socket.get() else { return };
-    let mut times = HeartbeatTimer::new(Instant::now());
+    let mut timer = HeartbeatTimer::new(Instant::now());
     loop {
         let schedule = lock(&state.peers).schedule();
         tokio::select! {
-            () = tokio::time::sleep_until(times.next()) => {}
+            () = tokio::time::sleep_until(timer.next()) => {}
             () = state.heartbeat_wanted.notified() => {
-                times.bring_forward(&schedule, Instant::now());
+                timer.bring_forward(&schedule, Instant::now());
                 continue;
             }
         }
-        let (is_near_due, is_far_due) = times.take_due(&schedule, Instant::now());
+        let (is_near_due, is_far_due) = timer.take_due(&schedule, Instant::now());
         let mut receivers = Vec::new();
         if is_near_due {
-            receivers.extend(addresses(&state, true));
+            receivers.extend(peer_addresses(&state, true));
         }
         if is_far_due {
-            receivers.extend(addresses(&state, false));
+            receivers.extend(peer_addresses(&state, false));
         }
         send_heartbeat(&state, socket, &receivers).await;
-        renew_share(&state);
+        update_alive_share(&state);
     }
 }
 
-/// Tells everybody, at once and twice, since a datagram may get lost.
+/// Sends a heartbeat to every other host at once, and sends it twice, since a datagram may get lost.
 pub(crate) async fn tell_all(state: &Arc<GatewayState>) {
     let Some(socket) = state.socket.get() else { return };
     for _ in 0..2 {
-        send_heartbeat(state, socket, &addresses(state, true)).await;
-        send_heartbeat(state, socket, &addresses(state, false)).await;
+        send_heartbeat(state, socket, &peer_addresses(state, true)).await;
+        send_heartbeat(state, socket, &peer_addresses(state, false)).await;
     }
 }
 
+/// Sends a regular heartbeat to the addresses in `to`.
 async fn send_heartbeat(state: &GatewayState, socket: &HostSocket, to: &[Name]) {
-    let heartbeat = make_heartbeat(state, HeartbeatKind::Usual);
+    let heartbeat = make_heartbeat(state, HeartbeatKind::Regular);
     socket.send(&HostMessage::Heartbeat(heartbeat), to).await;
 }
 
-fn renew_share(state: &GatewayState) {
+/// Updates the quota's share of hosts that are alive.
+fn update_alive_share(state: &GatewayState) {
     let now = Instant::now();
-    let (heard, all) = lock(&state.peers).count_alive(now);
-    lock(&state.quota).set_alive_share(heard, all);
+    let (alive, all) = lock(&state.peers).count_alive(now);
+    lock(&state.quota).set_alive_share(alive, all);
 }
 
-/// Takes a heartbeat that came from an address.
-pub(super) async fn take_heartbeat(
+/// Handles a heartbeat received from address `from`.
+///
+/// Replies if the heartbeat is a join request, and sends a join request to each host that it names whose
+/// incarnation is new here.
+pub(super) async fn handle_heartbeat(
     state: &Arc<GatewayState>,
     heartbeat: HostHeartbeat,
     from: Name,
 ) {
     let now = Instant::now();
-    let (wants_answer, names_hosts) = (heartbeat.wants_answer, heartbeat.wants_hosts);
+    let (wants_answer, includes_hosts) = (heartbeat.wants_answer, heartbeat.wants_hosts);
     let address = heartbeat.host.address.clone();
-    let known = heartbeat.known_hosts.clone();
-    let is_taken = merge_heartbeat(state, heartbeat, now);
-    if is_taken && wants_answer {
-        let answer = make_heartbeat(state, HeartbeatKind::Answer { names_hosts });
-        send_to_host(state, HostMessage::Heartbeat(answer), &from).await;
+    let known_hosts = heartbeat.known_hosts.clone();
+    let is_applied = apply_heartbeat(state, heartbeat, now);
+    if is_applied && wants_answer {
+        let response = make_heartbeat(state, HeartbeatKind::JoinResponse { includes_hosts });
+        send_to_host(state, HostMessage::Heartbeat(response), &from).await;
     }
-    for host in known {
+    for host in known_hosts {
         let is_new = lock(&state.peers).discover(&host, now);
         if is_new {
             log::info!(peer = &*host.address, incarnation = host.incarnation, source = &*address; "host-known");
@@ -185,41 +199,45 @@
     }
 }
 
-/// Lets everything know what a heartbeat says; `false` if it was an old one.
-fn merge_heartbeat(state: &Arc<GatewayState>, heartbeat: HostHeartbeat, now: Instant) -> bool {
+/// Applies a heartbeat to the state of this host. Returns `false` if the heartbeat is outdated, or is this
+/// host's own.
+fn apply_heartbeat(state: &Arc<GatewayState>, heartbeat: HostHeartbeat, now: Instant) -> bool {
     let id =
         HostId { address: heartbeat.host.address.clone(), incarnation: heartbeat.host.incarnation };
-    let told = heartbeat.clone();
+    let received = heartbeat.clone();
     let mut peers = lock(&state.peers);
-    let before = peers.get(&id.address).map(|record| peers.is_alive(record, now));
+    let was_alive = peers.get(&id.address).map(|record| peers.is_alive(record, now));
     if !peers.receive_heartbeat(heartbeat, now) {
         return false;
     }
     drop(peers);
-    let was_silent = before != Some(true);
+    let was_silent = was_alive != Some(true);
     if was_silent {
         log::info!(peer = &*id.address, incarnation = id.incarnation; "host-heard");
-        renew_share(state);
-        if !told.is_usage_full {
-            // Its counts have a starting point only with its next whole heartbeat.
+        update_alive_share(state);
+        if !received.is_usage_full {
+            // The quota needs a full heartbeat as the baseline of the host's counts. The response to a
+            // join request is one.
             let (state, address) = (state.clone(), id.address.clone());
             tokio::spawn(async move { greet_host(&state, &address).await });
         }
     }
-    // Before news of declarations are asked for: once those are in force, requests are sent.
-    take_drains(state, told.drains.clone(), &id.address);
-    lock(&state.quota).receive_heartbeat(&told, was_silent, now);
-    for ended in &told.ended {
+    // Drains are applied before newer declarations are requested: once declarations are in force, requests
+    // are sent to targets.
+    apply_drains(state, received.drains.clone(), &id.address);
+    lock(&state.quota).receive_heartbeat(&received, was_silent, now);
+    for ended in &received.ended {
         notice_end(state, ended, &id);
     }
-    for suspect in &told.crash_counts {
-        lock(&state.crashes).merge(suspect.fingerprint, suspect.crashes, now);
+    for count in &received.crash_counts {
+        lock(&state.crashes).merge(count.fingerprint, count.crashes, now);
     }
-    let own_declarations = lock(&state.declarations).current().map_or(0, |held| held.version());
+    let own_declarations =
+        lock(&state.declarations).current().map_or(0, |current| current.version());
     let own_targets = lock(&state.updates).targets_version();
-    if told.declarations > own_declarations || told.targets > own_targets {
-        let is_first = state.asks_for_updates.try_acquire();
-        if let Ok(permit) = is_first {
+    if received.declarations > own_declarations || received.targets > own_targets {
+        let permit = state.asks_for_updates.try_acquire();
+        if let Ok(permit) = permit {
             permit.forget();
             let state = state.clone();
             tokio::spawn(async move {
@@ -231,19 +249,21 @@
     true
 }
 
-/// Keeps a part of each rate for hosts that fell silent, and says which did.
+/// Marks hosts that fell silent, so that the quota reserves their part of each rate, and logs each of them.
+///
+/// `silent` holds the silent hosts of the previous call and is replaced by the present ones.
 pub(crate) fn forget_silent(state: &GatewayState, silent: &mut Vec<HostId>) {
     let now = Instant::now();
     let peers = lock(&state.peers);
-    let unheard: Vec<HostId> = peers
+    let now_silent: Vec<HostId> = peers
         .iter()
         .filter(|record| record.heartbeat.is_some() && !peers.is_alive(record, now))
         .map(|record| record.id())
         .collect();
     drop(peers);
-    for id in &unheard {
+    for id in &now_silent {
         if !silent.contains(id) {
-            // A host that said that it leaves is missed by nobody.
+            // Silence is expected from a host that reported that it has left.
             let has_left = lock(&state.peers).get(&id.address).is_some_and(|host| host.has_left);
             if !has_left {
                 log::warn!(peer = &*id.address, incarnation = id.incarnation; "host-silent");
@@ -251,5 +271,5 @@
             lock(&state.quota).mark_silent(id);
         }
     }
-    *silent = unheard;
+    *silent = now_silent;
 }
--- a/crates/cuminramp-gateway/src/peers/mod.rs
+++ b/crates/cuminramp-gateway/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Talk with other hosts: datagrams, and the few calls that need an answer.
+//! Communication with other hosts: datagrams, and calls where a reply is needed.
 
 mod calls;
 mod clock;
--- a/crates/cuminramp-gateway/src/peers/socket.rs
+++ b/crates/cuminramp-gateway/src/peers/socket.rs
@@ -7,26 +7,26 @@
 use cuminramp_fleet::HostMessage;
 use tokio::net::UdpSocket;
 
-use super::heartbeats::take_heartbeat;
+use super::heartbeats::handle_heartbeat;
 use crate::slots::{take_command, take_owner_failure, take_report, take_request, take_response};
 use crate::state::GatewayState;
 
-/// The largest datagram that is taken.
-const MOST_BYTES: usize = 60 << 10;
+/// Size of the receive buffer. A longer datagram is truncated and rejected as unreadable.
+const MAX_DATAGRAM_BYTES: usize = 60 << 10;
 
-/// Sends and takes datagrams.
+/// Sends and receives datagrams.
 #[derive(Debug)]
 pub(crate) struct HostSocket {
     socket: UdpSocket,
 }
 
 impl HostSocket {
-    /// Listens at `address`.
+    /// Binds the socket to `address`.
     pub(crate) async fn bind(address: &str) -> Result<Self, std::io::Error> {
         Ok(HostSocket { socket: UdpSocket::bind(address).await? })
     }
 
-    /// Sends a message to each of some hosts.
+    /// Sends a message to each address in `to`. A failed send is ignored.
     pub(crate) async fn send(&self, message: &HostMessage, to: &[Name]) {
         let bytes = match postcard::to_allocvec(message) {
             Ok(bytes) => bytes,
@@ -37,7 +37,7 @@
             }
         };
         for address in to {
-            // One that can't be sent is like one that got lost; the next one makes up for it.
+            // A failed send equals a lost datagram; the next message replaces it.
             let _ = self.socket.send_to(&bytes, &**address).await;
         }
     }
@@ -50,21 +50,21 @@
     }
 }
 
-/// Takes datagrams until the gateway stops.
+/// Receives and handles datagrams. Runs until its task is cancelled.
 pub(crate) async fn receive_datagrams(state: Arc<GatewayState>) {
     let Some(socket) = state.socket.get() else { return };
-    let mut buffer = vec![0; MOST_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
-                // A host that is gone makes the kernel report an earlier send as refused.
+                // If a host is gone, the kernel reports an earlier send to it as refused.
                 log::debug!(reason = error.to_string().as_str(); "datagram-not-received");
                 continue;
             }
         };
         match postcard::from_bytes::<HostMessage>(&buffer[..length]) {
-            Ok(message) => take_message(&state, message, from).await,
+            Ok(message) => handle_message(&state, message, from).await,
             Err(error) => {
                 let (reason, from) = (error.to_string(), from.to_string());
                 log::warn!(from = from.as_str(), reason = reason.as_str(); "datagram-unreadable");
@@ -73,15 +73,16 @@
     }
 }
 
-async fn take_message(state: &Arc<GatewayState>, message: HostMessage, from: SocketAddr) {
+/// Passes a message to the handler of its kind.
+async fn handle_message(state: &Arc<GatewayState>, message: HostMessage, from: SocketAddr) {
     let address: Name = from.to_string().into();
     match message {
-        HostMessage::Heartbeat(heartbeat) => take_heartbeat(state, heartbeat, address).await,
+        HostMessage::Heartbeat(heartbeat) => handle_heartbeat(state, heartbeat, address).await,
         HostMessage::Report(report) => take_report(state, &address, report).await,
         HostMessage::Request(slot_request) => take_request(state, &address, slot_request).await,
-        HostMessage::Response(answer) => take_response(state, &address, answer),
-        HostMessage::Command(order) => take_command(state, &address, order),
-        HostMessage::OwnerFailure(claim) => take_owner_failure(state, &address, &claim),
+        HostMessage::Response(response) => take_response(state, &address, response),
+        HostMessage::Command(command) => take_command(state, &address, command),
+        HostMessage::OwnerFailure(failure) => take_owner_failure(state, &address, &failure),
     }
 }
 
--- a/crates/cuminramp-gateway/src/sync/drains.rs
+++ b/crates/cuminramp-gateway/src/sync/drains.rs
@@ -1,4 +1,4 @@
-//! Zones that operators drain, from the store and from other hosts.
+//! Applies operators' zone drains that come from the store or from other hosts.
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
 
 use crate::state::{GatewayState, lock};
 
-/// Takes the drains among all rows of the operators' table.
-pub(super) fn take_drain_rows(state: &Arc<GatewayState>, snapshot: &TableSnapshot) {
+/// Applies the drains in a full snapshot of the declarations table, which also holds the operators' rows.
+pub(super) fn apply_drain_snapshot(state: &Arc<GatewayState>, snapshot: &TableSnapshot) {
     let listed = snapshot.rows.iter().filter_map(|row| {
         let zone = state.fleet.drained_zone(&row.key)?;
         Some(ZoneDrain { zone, version: row.version, is_drained: true })
@@ -19,17 +19,17 @@
     enforce(state, &updates, "store");
 }
 
-/// Takes the drains among changed rows of the operators' table.
-pub(super) fn take_drain_changes(state: &Arc<GatewayState>, changes: &[RowChange]) {
+/// Applies the drains among changed rows of the declarations table.
+pub(super) fn apply_drain_changes(state: &Arc<GatewayState>, changes: &[RowChange]) {
     let changed = changes.iter().filter_map(|change| {
         let zone = state.fleet.drained_zone(&change.row.key)?;
         Some(ZoneDrain { zone, version: change.row.version, is_drained: !change.is_deleted })
     });
-    take_drains(state, changed.collect(), "store");
+    apply_drains(state, changed.collect(), "store");
 }
 
-/// Takes drains from the store or another host.
-pub(crate) fn take_drains(state: &Arc<GatewayState>, offered: Vec<ZoneDrain>, source: &str) {
+/// Applies drains from the store or another host, named by `source` in the log.
+pub(crate) fn apply_drains(state: &Arc<GatewayState>, offered: Vec<ZoneDrain>, source: &str) {
     if offered.is_empty() {
         return;
     }
@@ -41,7 +41,7 @@
     enforce(state, &updates, source);
 }
 
-/// Puts news in force here and passes them on.
+/// Puts new drains into force on this host and advertises them to other hosts with the next heartbeat.
 fn enforce(state: &Arc<GatewayState>, updates: &[ZoneDrain], source: &str) {
     if updates.is_empty() {
         return;
--- a/crates/cuminramp-gateway/src/sync/follow.rs
+++ b/crates/cuminramp-gateway/src/sync/follow.rs
@@ -1,4 +1,4 @@
-//! Follows one table of the store.
+//! Follows one table of the store: reads a snapshot, then watches for changes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,59 +10,61 @@
 
 use crate::state::{GatewayState, lock};
 
-/// How long one watch waits. A watch whose connection fell silent is found out only when this is
-/// over, and changes have to be in force within two seconds or a few more after an outage.
+/// Time that one watch waits for changes. A connection that fell silent is detected only when the wait
+/// is over, and changes have to be in force within two seconds, or a few more after an outage.
 const WATCH_WAIT: Duration = Duration::from_millis(2_500);
-/// How long it waits while the store is lost: as long as it stays away, each try hangs.
-const LOST_WAIT: Duration = Duration::from_millis(200);
-/// First and longest pause after a call that failed.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
+/// Time that one watch waits after a failed call. While the store is unreachable, each attempt hangs for the
+/// whole wait, and a long one would delay the recovery.
+const OUTAGE_WATCH_WAIT: Duration = Duration::from_millis(200);
+/// Initial and maximum delay before the next call after a failed one.
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
 
-/// What is done with a table's rows.
+/// Applies the rows of one table.
 #[async_trait]
 pub(crate) trait TableFollower: Send + Sync {
-    /// The table.
+    /// Returns the name of the table.
     fn table(&self) -> &'static str;
 
-    /// Pause between two watches, so that a table that changes all the time costs few calls.
+    /// Returns the pause between two watches. It bounds the number of calls for a table that changes all
+    /// the time.
     fn pause(&self, schedule: &HeartbeatSchedule) -> Duration;
 
-    /// Takes the whole table.
+    /// Applies a full snapshot of the table.
     async fn reset(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot);
 
-    /// Takes changes.
+    /// Applies changes up to `version`.
     async fn change(&self, state: &Arc<GatewayState>, changes: Vec<RowChange>, version: u64);
 }
 
-/// Reads a table and follows its changes until the gateway stops.
+/// Reads a table and follows its changes. Runs until its task is cancelled.
 pub(crate) async fn follow_table(state: Arc<GatewayState>, follower: impl TableFollower) {
-    let mut pause = PAUSES.0;
+    let mut pause = RETRY_DELAYS.0;
     let mut is_lost = false;
     let mut version = None;
     loop {
-        let asked = Instant::now();
+        let started_at = Instant::now();
         let outcome = match version {
-            None => read_whole(&state, &follower).await.map(Some),
+            None => read_snapshot(&state, &follower).await.map(Some),
             Some(after) => {
-                let wait = if is_lost { LOST_WAIT } else { WATCH_WAIT };
+                let wait = if is_lost { OUTAGE_WATCH_WAIT } else { WATCH_WAIT };
                 watch_once(&state, &follower, after, wait).await
             }
         };
         match outcome {
             Ok(next) => {
-                lock(&state.updates).note_store_success(Instant::now());
+                lock(&state.updates).record_store_success(Instant::now());
                 if is_lost {
                     log::info!(table = follower.table(), version = next.unwrap_or(0); "store-regained");
                 }
                 is_lost = false;
                 version = next;
-                pause = PAUSES.0;
+                pause = RETRY_DELAYS.0;
                 let schedule = lock(&state.peers).schedule();
                 tokio::time::sleep(follower.pause(&schedule)).await;
             }
             Err(error) => {
                 state.metrics.count_store_failure("watch");
-                lock(&state.updates).note_store_failure(asked);
+                lock(&state.updates).record_store_failure(started_at);
                 if !is_lost {
                     let reason = error.to_string();
                     log::warn!(
@@ -73,29 +75,33 @@
                 }
                 is_lost = true;
                 tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(PAUSES.1);
+                pause = (pause * 2).min(RETRY_DELAYS.1);
             }
         }
     }
 }
 
-async fn read_whole(
+/// Reads and applies a full snapshot and returns its version.
+async fn read_snapshot(
     state: &Arc<GatewayState>,
     follower: &impl TableFollower,
 ) -> Result<u64, StoreError> {
-    let asked = Instant::now();
+    let started_at = Instant::now();
     let snapshot = state.store.snapshot(follower.table()).await?;
     let version = snapshot.version;
     log::info!(
         table = follower.table(), version = version, rows = snapshot.rows.len(),
-        took_ms = asked.elapsed().as_millis() as u64;
+        took_ms = started_at.elapsed().as_millis() as u64;
         "table-read"
     );
     follower.reset(state, snapshot).await;
     Ok(version)
 }
 
-/// `None` where the history is lost and the table has to be read anew.
+/// Waits for changes after version `after`, applies them and returns the new version.
+///
+/// Returns `None` if the store no longer has the history since `after`; the table has to be read in full
+/// again.
 async fn watch_once(
     state: &Arc<GatewayState>,
     follower: &impl TableFollower,
--- a/crates/cuminramp-gateway/src/sync/mod.rs
+++ b/crates/cuminramp-gateway/src/sync/mod.rs
@@ -1,4 +1,7 @@
-//! What the store knows, followed by watches, and by other hosts' news where the store is away.
+//! Follows the tables of the store.
+//!
+//! Changes come through watches. While the store is unreachable, this host receives updates from other
+//! hosts and has them make its store calls.
 
 mod drains;
 mod follow;
@@ -6,7 +9,7 @@
 mod relay;
 mod updates;
 
-pub(crate) use drains::take_drains;
+pub(crate) use drains::apply_drains;
 pub(crate) use follow::{TableFollower, follow_table};
 pub(crate) use hosts::{announce_host, learn_hosts, withdraw_host};
 pub(crate) use relay::{RelayedStore, answer_store_call};
--- a/crates/cuminramp-gateway/src/sync/updates.rs
+++ b/crates/cuminramp-gateway/src/sync/updates.rs
@@ -1,4 +1,4 @@
-//! Declarations and targets, from the store or from hosts that reach it.
+//! Applies declarations and targets that come from the store, or from other hosts while it is unreachable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,71 +11,73 @@
 use cuminramp_wire::fleet::{NewsReply, NewsRequest, NewsRow};
 use tokio::time::Instant;
 
-use super::drains::{take_drain_changes, take_drain_rows};
+use super::drains::{apply_drain_changes, apply_drain_snapshot};
 use super::follow::TableFollower;
 use crate::state::{GatewayState, lock};
 
-/// How long the store has the first word before other hosts are asked for what it should have said.
-const STORE_FIRST: Duration = Duration::from_millis(150);
+/// Delay before another host is asked for updates, in which they usually arrive from the store.
+const UPDATE_REQUEST_DELAY: Duration = Duration::from_millis(150);
 
-/// Pause between two watches of declarations.
+/// Pause between two watches of the declarations table.
 const DECLARATIONS_PAUSE: Duration = Duration::from_millis(20);
-/// Pause between two watches of targets, and the longest one: a target that leaves gets nothing new
-/// within two seconds.
+/// Pause between two watches of the targets table in a small fleet.
 const TARGETS_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_TARGETS_PAUSE: Duration = Duration::from_millis(250);
+/// Maximum pause between two watches of the targets table in a large fleet. A target that leaves must
+/// stop receiving new work within two seconds.
+const MAX_TARGETS_PAUSE: Duration = Duration::from_millis(250);
 
-/// An outage of this length may make entries run out: targets renew theirs about every 1.2 s and
-/// lose them after three missed renewals.
-const LONG_OUTAGE: Duration = Duration::from_millis(1_500);
-/// Entries that ran out are back so long after the outage.
-const RETURN_LIMIT: Duration = Duration::from_millis(2_000);
+/// Minimum length of an outage after which entries of live targets may have expired. Targets renew their
+/// entry about every 1.2 s and lose it after three missed renewals.
+const MIN_EXPIRY_OUTAGE: Duration = Duration::from_millis(1_500);
+/// Time after the end of an outage within which targets have renewed their expired entries.
+const RENEWAL_WINDOW: Duration = Duration::from_millis(2_000);
 
-/// Rows of declarations and targets as this host knows them, to apply and to pass on.
+/// Latest known rows of declarations and targets, kept to be applied here and sent to other hosts.
 #[derive(Debug, Default)]
 pub(crate) struct UpdateRows {
     declarations: SortedMap<String, Row>,
     targets: RowCache,
-    /// Since when calls of the store have failed.
+    /// Start of the first failed call of the current outage; `None` while calls succeed.
     lost_since: Option<Instant>,
-    /// When the last long outage ended.
+    /// End of the last outage that was at least [`MIN_EXPIRY_OUTAGE`] long.
     outage_ended: Option<Instant>,
 }
 
 impl UpdateRows {
-    /// Version up to which targets are known.
+    /// Returns the version up to which targets are known.
     pub(crate) fn targets_version(&self) -> u64 {
         self.targets.version()
     }
 
-    /// A call that was begun at `asked` failed.
-    pub(crate) fn note_store_failure(&mut self, asked: Instant) {
-        self.lost_since.get_or_insert(asked);
+    /// Records that a store call that started at `started_at` failed.
+    pub(crate) fn record_store_failure(&mut self, started_at: Instant) {
+        self.lost_since.get_or_insert(started_at);
     }
 
-    /// A call succeeded.
-    pub(crate) fn note_store_success(&mut self, now: Instant) {
+    /// Records that a store call succeeded, which ends an outage.
+    pub(crate) fn record_store_success(&mut self, now: Instant) {
         let Some(since) = self.lost_since.take() else { return };
-        if now.duration_since(since) >= LONG_OUTAGE {
+        if now.duration_since(since) >= MIN_EXPIRY_OUTAGE {
             self.outage_ended = Some(now);
         }
     }
 
-    /// Whether entries may have run out although their targets live.
-    fn is_store_shaky(&self, now: Instant) -> bool {
-        let ended_lately =
-            self.outage_ended.is_some_and(|at| now.duration_since(at) < RETURN_LIMIT);
-        ended_lately
-            || self.lost_since.is_some_and(|since| now.duration_since(since) >= LONG_OUTAGE)
+    /// Returns whether entries may have expired although their targets are alive: during a long outage and
+    /// for [`RENEWAL_WINDOW`] after it.
+    fn may_have_expired_entries(&self, now: Instant) -> bool {
+        let ended_recently =
+            self.outage_ended.is_some_and(|at| now.duration_since(at) < RENEWAL_WINDOW);
+        ended_recently
+            || self.lost_since.is_some_and(|since| now.duration_since(since) >= MIN_EXPIRY_OUTAGE)
     }
 }
 
-/// Applies declarations.
+/// Applies declarations and drains from the declarations table.
 pub(crate) struct DeclarationsFollower {
     pub(crate) table: &'static str,
 }
 
-/// Applies targets.
+/// Applies targets from the targets table.
 pub(crate) struct TargetsFollower {
     pub(crate) table: &'static str,
 }
@@ -90,23 +92,23 @@
         DECLARATIONS_PAUSE
     }
 
-    /// Drains come first: once declarations are in force, requests are sent.
+    /// Applies drains before declarations: once declarations are in force, requests are sent to targets.
     async fn reset(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot) {
-        take_drain_rows(state, &snapshot);
+        apply_drain_snapshot(state, &snapshot);
         for row in snapshot.rows {
             apply_declarations(state, row, "store");
         }
     }
 
     async fn change(&self, state: &Arc<GatewayState>, changes: Vec<RowChange>, _version: u64) {
-        take_drain_changes(state, &changes);
+        apply_drain_changes(state, &changes);
         for change in changes.into_iter().filter(|change| !change.is_deleted) {
             apply_declarations(state, change.row, "store");
         }
     }
 }
 
-/// Puts declarations in force if they are later than those that are.
+/// Puts declarations into force if they are newer than the current ones.
 fn apply_declarations(state: &Arc<GatewayState>, row: Row, source: &str) {
     let declared = match state.fleet.read_declarations(&row) {
         Ok(Some(declared)) => declared,
@@ -120,8 +122,8 @@
             return;
         }
     };
-    let is_taken = lock(&state.declarations).offer(declared.clone());
-    if !is_taken {
+    let is_applied = lock(&state.declarations).offer(declared.clone());
+    if !is_applied {
         return;
     }
     lock(&state.quota).set_limits(&declared, Instant::now());
@@ -142,7 +144,7 @@
     }
 
     fn pause(&self, schedule: &HeartbeatSchedule) -> Duration {
-        schedule.scale(TARGETS_PAUSE, LONGEST_TARGETS_PAUSE)
+        schedule.scale(TARGETS_PAUSE, MAX_TARGETS_PAUSE)
     }
 
     async fn reset(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot) {
@@ -161,18 +163,20 @@
         });
         let changes = changes.collect();
         let mut updates = lock(&state.updates);
-        let is_shaky = updates.is_store_shaky(now);
-        let actions = updates.targets.apply_changes(changes, version, is_shaky, now);
+        let may_have_expired = updates.may_have_expired_entries(now);
+        let actions = updates.targets.apply_changes(changes, version, may_have_expired, now);
         drop(updates);
         apply_actions(state, actions, "store");
         state.items_wanted.notify_one();
     }
 }
 
+/// Converts a row of the store to a row of the cache.
 fn into_known(row: Row) -> KnownRow {
     KnownRow { key: row.key, value: row.value, version: row.version }
 }
 
+/// Puts and removes targets as the cache of target rows decided.
 fn apply_actions(state: &Arc<GatewayState>, actions: Vec<RowAction>, source: &str) {
     for action in actions {
         match action {
@@ -182,6 +186,8 @@
     }
 }
 
+/// Adds or updates a target. A row that can't be read removes its target, which would otherwise stay in use
+/// with outdated data.
 fn put_target(state: &Arc<GatewayState>, row: KnownRow, source: &str) {
     let row = Row { key: row.key, value: row.value, version: row.version };
     match state.fleet.read_target(&row) {
@@ -214,17 +220,18 @@
     lock(&state.placement).remove(&id);
 }
 
-/// Takes targets out that seemed gone and did not come back in time.
+/// Removes targets whose rows vanished from the store, as after an outage, and did not reappear in time.
 pub(crate) fn drop_missing_targets(state: &Arc<GatewayState>, now: Instant) {
     let actions = lock(&state.updates).targets.take_due(now);
     apply_actions(state, actions, "missing-from-store");
 }
 
-/// What another host lacks.
+/// Returns the rows of declarations and targets if they are newer than the requesting host's.
 pub(crate) fn answer_updates(state: &GatewayState, request: &NewsRequest) -> NewsReply {
-    let declared = lock(&state.declarations).current().map_or(0, |held| held.version());
+    let declarations_version =
+        lock(&state.declarations).current().map_or(0, |current| current.version());
     let updates = lock(&state.updates);
-    let version = updates.targets_version();
+    let targets_version = updates.targets_version();
     let pack = |key: &str, value: &Bytes, version| NewsRow {
         key: key.to_owned(),
         value: value.to_vec(),
@@ -234,21 +241,24 @@
         updates.declarations.values().map(|row| pack(&row.key, &row.value, row.version));
     let targets = updates.targets.rows().map(|row| pack(&row.key, &row.value, row.version));
     NewsReply {
-        declarations: declared,
-        declaration_rows: declarations.filter(|_| declared > request.declarations).collect(),
-        targets: version,
-        target_rows: targets.filter(|_| version > request.targets).collect(),
+        declarations: declarations_version,
+        declaration_rows: declarations
+            .filter(|_| declarations_version > request.declarations)
+            .collect(),
+        targets: targets_version,
+        target_rows: targets.filter(|_| targets_version > request.targets).collect(),
         age_ms: 0,
     }
 }
 
-/// Asks another host whose heartbeats show a later version, when the store did not bring it first.
+/// Requests updates from a host whose heartbeats advertise a newer version, unless the updates arrive from
+/// the store first.
 ///
-/// A host that can't reach the store would go on with keys that were taken away and send work to
-/// targets that leave; one would see it in answers that other hosts no longer give.
+/// Without this request, a host that can't reach the store would still accept revoked keys and send work to
+/// targets that leave, and answer requests that other hosts already refuse.
 pub(crate) async fn request_updates(state: Arc<GatewayState>, address: Name) {
-    tokio::time::sleep(STORE_FIRST).await;
-    let declarations = lock(&state.declarations).current().map_or(0, |held| held.version());
+    tokio::time::sleep(UPDATE_REQUEST_DELAY).await;
+    let declarations = lock(&state.declarations).current().map_or(0, |current| current.version());
     let targets = lock(&state.updates).targets_version();
     let is_behind =
         lock(&state.peers).get(&address).and_then(|peer| peer.heartbeat.as_ref()).is_some_and(
@@ -258,7 +268,7 @@
         return;
     }
     let request = NewsRequest { declarations, targets };
-    let Some(reply) = state.clients.ask_news(&address, request).await else {
+    let Some(reply) = state.clients.fetch_updates(&address, request).await else {
         log::warn!(peer = &*address; "news-unanswered");
         return;
     };
