--- a/crates/cuminramp-gateway/src/entry/answers.rs
+++ b/crates/cuminramp-gateway/src/entry/answers.rs
@@ -1,4 +1,4 @@
-//! Answers as callers read them.
+//! HTTP responses to callers.
 
 use std::io;
 use std::pin::Pin;
@@ -15,14 +15,14 @@
 
 use crate::state::GatewayState;
 
-/// Statuses that promise that a request was not run and never will be.
+/// HTTP statuses that guarantee that a request was not run and never will be, so that callers may repeat it.
 pub(crate) const PROMISES: [u16; 4] = [408, 421, 429, 503];
 
-/// The body of an answer.
+/// Body of a response.
 pub(crate) enum AnswerBody {
-    /// All of it is there.
+    /// The complete body is in memory.
     Whole(Full<Bytes>),
-    /// It comes in events.
+    /// The body is streamed event by event.
     Stream(BoxStream<'static, Result<Frame<Bytes>, io::Error>>),
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// An answer of this host's own.
+/// Returns a JSON response with a complete body that this host has generated.
 pub(crate) fn complete_response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::Whole(Full::new(body)));
     *response.status_mut() = status;
@@ -65,18 +65,18 @@
     response
 }
 
-/// The status of a refusal. A request that may have run never gets one of the statuses that promise
-/// that it has not.
+/// Returns the HTTP status of a refusal. For a request that may have run, each status in [`PROMISES`] is
+/// replaced by 502, so that its caller doesn't repeat it.
 fn refusal_status(refusal: &Refusal) -> StatusCode {
     let status = refusal.code.http_status();
-    let is_promise = PROMISES.contains(&status);
-    if is_promise && refusal.execution != Execution::NotRun {
+    let means_not_run = PROMISES.contains(&status);
+    if means_not_run && refusal.execution != Execution::NotRun {
         return StatusCode::BAD_GATEWAY;
     }
     StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
 }
 
-/// The answer that carries a refusal.
+/// Returns the response for a refusal and counts it in the metrics.
 pub(crate) fn refusal_response(state: &GatewayState, refusal: &Refusal) -> Response<AnswerBody> {
     state.metrics.count_refusal(refusal.code.number());
     let body = json!({
@@ -92,8 +92,8 @@
     let headers = response.headers_mut();
     headers.insert("cuminramp-code", refusal.code.number().into());
     headers.insert("cuminramp-execution", HeaderValue::from_static(refusal.execution.as_str()));
-    if let Some(after) = refusal.retry_after {
-        let seconds = format!("{:.3}", after.as_secs_f64());
+    if let Some(retry_after) = refusal.retry_after {
+        let seconds = format!("{:.3}", retry_after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             headers.insert(RETRY_AFTER, value);
         }
