--- a/crates/cuminramp-gateway/src/entry/calls.rs
+++ b/crates/cuminramp-gateway/src/entry/calls.rs
@@ -1,4 +1,4 @@
-//! One call of a caller: who makes it, what it is for, and whether it is admitted.
+//! Handles one call: authenticates its team, finds its route, and admits or refuses it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,23 +17,23 @@
 use crate::online::{AdmittedRequest, RequestRecord, serve_request};
 use crate::state::{GatewayState, lock};
 
-/// Until the body of a request is whole; callers send theirs at once.
-const BODY_LIMIT: Duration = Duration::from_secs(5);
-/// A caller refused for want of declarations comes back after so long: a host reads them within a
+/// Timeout for receiving the complete body of a request. Callers send it right after the head.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Retry-After of a call that is refused because no declarations are known yet. A host reads them within a
 /// few hundred milliseconds of its start.
-const START_PAUSE: Duration = Duration::from_millis(300);
-/// The longest Retry-After of a team above its rate.
-const LONGEST_RATE_PAUSE: Duration = Duration::from_millis(1_500);
+const STARTUP_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Maximum Retry-After for a team above its rate.
+const MAX_RATE_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Part of the objective that a request may wait for room in its team's rate; callers should know
-/// within a quarter of it that they have to come back.
+/// Share of the route's objective that a request may wait for its team's rate. A caller should receive a
+/// refusal within a quarter of the objective.
 const RATE_WAIT_SHARE: f64 = 0.2;
-/// The least such wait.
-const LEAST_RATE_WAIT: Duration = Duration::from_millis(2);
-/// A caller that has less of its usual time left has been here before.
-const AGAIN_SHARE: f64 = 0.985;
+/// Minimum wait before a request asks the quota again.
+const MIN_RATE_WAIT: Duration = Duration::from_millis(2);
+/// Share of the route's timeout. A call with less time left until its deadline counts as a retry.
+const RETRY_DEADLINE_SHARE: f64 = 0.985;
 
-/// Answers one call.
+/// Handles one call and returns its response.
 pub(crate) async fn answer_call(
     state: &Arc<GatewayState>,
     request: Request<Incoming>,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Logs a call that ended before it reached a route.
+/// Logs a call that was refused before it was passed to its route's handler.
 fn log_refusal(head: &CallHead, route: Option<&RouteRule>, version: u64, refusal: &Refusal) {
     log::info!(
         request_id = head.request_id.as_deref().unwrap_or("-"), host = &*head.host,
@@ -59,8 +59,8 @@
     );
 }
 
-/// Logs a call about a job that failed. Such calls mostly have no identity of their own; without the
-/// job's, a caller's complaint about it would find no line.
+/// Logs a refused call about a job. Most calls about jobs have no request id, so the job's name is what a
+/// caller's complaint can be traced by.
 fn log_job_refusal(head: &CallHead, job: Option<Name>, version: u64, refusal: &Refusal) {
     log::info!(
         job = job.as_deref().unwrap_or("-"),
@@ -73,6 +73,7 @@
     );
 }
 
+/// Passes a call about a job, a new job or an online request to its handler.
 async fn dispatch(
     state: &Arc<GatewayState>,
     parts: request::Parts,
@@ -82,7 +83,7 @@
     let Some(declared) = state.declared() else {
         let refusal =
             Refusal::not_run(ResultCode::ConfigurationUnknown, "no declarations are known yet")
-                .with_retry_after(START_PAUSE);
+                .with_retry_after(STARTUP_RETRY_AFTER);
         log_refusal(head, None, 0, &refusal);
         return Err(refusal);
     };
@@ -113,7 +114,7 @@
         let caller = JobCaller { team: team.name, head: head.clone() };
         return accept_job(state, &route, caller, body, version).await;
     }
-    hold_to_rate(state, head, &route, team.as_ref(), version).await?;
+    enforce_rate(state, head, &route, team.as_ref(), version).await?;
     let request = admit(state, parts, head, body, route, team.as_ref(), version)?;
     let record = RequestRecord::new(
         state,
@@ -125,9 +126,9 @@
     serve_request(state.clone(), request, record).await
 }
 
-/// Holds a request to its team's rate. Where room comes within a moment it waits for it: a refusal
-/// would cost the caller far more.
-async fn hold_to_rate(
+/// Enforces the rate of a request's team. If the rate admits the request shortly, this waits instead of
+/// refusing: a refusal would delay the caller far longer.
+async fn enforce_rate(
     state: &Arc<GatewayState>,
     head: &CallHead,
     route: &RouteRule,
@@ -140,30 +141,32 @@
     loop {
         let now = Instant::now();
         let decision = lock(&state.quota).admit(&team.name, is_retry, now);
-        let QuotaDecision::Exceeded(after) = decision else {
+        let QuotaDecision::Exceeded(wait) = decision else {
             state.request_heartbeat();
             return Ok(());
         };
-        if now + after < until {
-            tokio::time::sleep(after.max(LEAST_RATE_WAIT)).await;
+        if now + wait < until {
+            tokio::time::sleep(wait.max(MIN_RATE_WAIT)).await;
             continue;
         }
-        let back = lock(&state.quota).retry_after(&team.name, now).min(LONGEST_RATE_PAUSE);
+        let retry_after = lock(&state.quota).retry_after(&team.name, now).min(MAX_RATE_RETRY_AFTER);
         let reason =
-            format!("team {} is above its rate, room in {} ms", team.name, after.as_millis());
-        let refusal = Refusal::not_run(ResultCode::RateExceeded, reason).with_retry_after(back);
+            format!("team {} is above its rate for another {} ms", team.name, wait.as_millis());
+        let refusal =
+            Refusal::not_run(ResultCode::RateExceeded, reason).with_retry_after(retry_after);
         log_refusal(head, Some(route), version, &refusal);
         return Err(refusal);
     }
 }
 
-/// Whether a caller has been refused before: it has less of its usual time left.
+/// Returns whether a caller was refused before: a retry has noticeably less time left until its deadline
+/// than the route's timeout.
 pub(crate) fn is_retry(head: &CallHead, route: &RouteRule) -> bool {
-    let usual = route.timeout.as_secs_f64() * AGAIN_SHARE;
-    head.deadline.is_some_and(|left| left.as_secs_f64() < usual)
+    let threshold = route.timeout.as_secs_f64() * RETRY_DEADLINE_SHARE;
+    head.deadline.is_some_and(|left| left.as_secs_f64() < threshold)
 }
 
-/// Chooses the pool of a request.
+/// Returns an admitted request with its pool and the zones it may run in.
 fn admit(
     state: &Arc<GatewayState>,
     parts: request::Parts,
@@ -184,39 +187,41 @@
     Ok(AdmittedRequest { parts, head: head.clone(), body, route, team, pool, zones })
 }
 
-/// The team of a call; `None` where none is needed and no known key came.
+/// Returns the team of a call, or `None` if the call needs no key and has no known one.
 fn find_team<'a>(
     declared: &'a FleetDeclarations,
     head: &CallHead,
     is_public: bool,
 ) -> Result<Option<&'a TeamRule>, Refusal> {
-    let is_open = is_public || !declared.has_teams();
+    let is_key_optional = is_public || !declared.has_teams();
     match &head.key {
         CallerKey::Ambiguous => {
-            Err(Refusal::not_run(ResultCode::FieldInvalid, "more than one key came"))
+            Err(Refusal::not_run(ResultCode::FieldInvalid, "more than one key was sent"))
         }
-        CallerKey::Missing if is_open => Ok(None),
-        CallerKey::Missing => Err(Refusal::not_run(ResultCode::KeyMissing, "no key came")),
+        CallerKey::Missing if is_key_optional => Ok(None),
+        CallerKey::Missing => Err(Refusal::not_run(ResultCode::KeyMissing, "no key was sent")),
         CallerKey::Given(key) => match declared.find_team(key) {
             Some(team) => Ok(Some(team)),
-            None if is_open => Ok(None),
-            None => Err(Refusal::not_run(ResultCode::KeyUnknown, "the key is not known")),
+            None if is_key_optional => Ok(None),
+            None => Err(Refusal::not_run(ResultCode::KeyUnknown, "the key is unknown")),
         },
     }
 }
 
+/// Reads the body of a request, up to `limit` bytes and within [`BODY_TIMEOUT`].
 async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
     let collecting = Limited::new(body, limit).collect();
-    match tokio::time::timeout(BODY_LIMIT, collecting).await {
+    match tokio::time::timeout(BODY_TIMEOUT, collecting).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             Err(Refusal::not_run(ResultCode::BodyTooLarge, "the body is too large"))
         }
         Ok(Err(error)) => Err(Refusal::not_run(ResultCode::BodyMalformed, error.to_string())),
-        Err(_) => Err(Refusal::not_run(ResultCode::BodyTimeout, "the body came too slowly")),
+        Err(_) => Err(Refusal::not_run(ResultCode::BodyTimeout, "timed out reading the body")),
     }
 }
 
+/// Handles a call that reads or ends an existing job.
 async fn answer_job_call(
     state: &Arc<GatewayState>,
     declared: &FleetDeclarations,
@@ -232,6 +237,6 @@
         }
         CallerCall::ReadItem { job, item } => read_item(state, &caller, &job, &item).await,
         CallerCall::EndJob { job } => end_job(state, &caller, &job).await,
-        CallerCall::Request => Err(Refusal::not_run(ResultCode::EndpointUnknown, "no such call")),
+        CallerCall::Request => Err(Refusal::not_run(ResultCode::EndpointUnknown, "not a job call")),
     }
 }
