--- a/crates/cuminramp-gateway/src/entry/connections.rs
+++ b/crates/cuminramp-gateway/src/entry/connections.rs
@@ -16,14 +16,14 @@
 use super::{AnswerBody, answer_call};
 use crate::state::GatewayState;
 
-/// Idle connections are kept this much longer than callers use them, so that no request crosses
-/// the close.
+/// Time by which idle connections outlive the idle timeout that callers apply. Without it, a caller could
+/// send a request on a connection that this host is just closing.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
-/// The least buffer that the server library takes for heads.
-const LEAST_HEAD_BYTES: usize = 8 << 10;
+/// Minimum buffer size for request heads that hyper accepts.
+const MIN_HEAD_BYTES: usize = 8 << 10;
 
-/// Serves callers until the gateway stops. A host that drains still accepts: callers that have not
-/// heard yet would otherwise fail.
+/// Serves callers until the gateway stops. A draining host still accepts connections: callers that have not
+/// received new steering answers yet would otherwise fail.
 pub(crate) async fn serve_callers(state: Arc<GatewayState>, listener: TcpListener) {
     while let Some(stream) = accept_next(&listener, &state.stop).await {
         let state = state.clone();
@@ -31,18 +31,19 @@
     }
 }
 
+/// Serves one connection. On a drain, closes it once it is idle.
 async fn serve_connection(state: Arc<GatewayState>, stream: TcpStream) {
     let limits = state.declared().map(|declared| declared.limits()).unwrap_or_default();
     let service_state = state.clone();
-    let service = service_fn(move |request| answer_one(service_state.clone(), request));
+    let service = service_fn(move |request| answer_request(service_state.clone(), request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout + IDLE_MARGIN)
-        .max_buf_size(limits.head_bytes.max(LEAST_HEAD_BYTES))
+        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let drained = state.drain_idle.cancelled();
-    tokio::pin!(drained);
+    let drain_idle = state.drain_idle.cancelled();
+    tokio::pin!(drain_idle);
     let mut is_closing = false;
     loop {
         tokio::select! {
@@ -53,7 +54,7 @@
                 return;
             }
             () = state.stop.cancelled() => return,
-            () = &mut drained, if !is_closing => {
+            () = &mut drain_idle, if !is_closing => {
                 is_closing = true;
                 connection.as_mut().graceful_shutdown();
             }
@@ -61,11 +62,12 @@
     }
 }
 
-async fn answer_one(
+/// Handles one request. While this host drains, asks the caller to close the connection.
+async fn answer_request(
     state: Arc<GatewayState>,
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Infallible> {
-    let _held = state.tasks.token();
+    let _token = state.tasks.token();
     let mut response = answer_call(&state, request).await;
     if state.is_draining() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/cuminramp-gateway/src/entry/mod.rs
+++ b/crates/cuminramp-gateway/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, and what each call on them asks for.
+//! Accepts callers' connections, admits their calls, and serves steering, readiness and metrics.
 
 mod answers;
 mod calls;
--- a/crates/cuminramp-gateway/src/entry/service_points.rs
+++ b/crates/cuminramp-gateway/src/entry/service_points.rs
@@ -1,4 +1,4 @@
-//! Small answers beside callers' requests: steering, readiness and metrics.
+//! Service endpoints: steering, readiness and metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -20,17 +20,19 @@
 use crate::interfaces::SteeringCall;
 use crate::state::{GatewayState, lock};
 
-/// Until the head of a small call is whole.
-const HEAD_LIMIT: Duration = Duration::from_secs(5);
-/// How many hosts a steering answer names.
-const NAMED_HOSTS: SteeringBounds = SteeringBounds { min_near: 2, max_hosts: 64 };
+/// Timeout for receiving the head of a request.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bounds on the number of hosts that a steering answer names.
+const STEERING_BOUNDS: SteeringBounds = SteeringBounds { min_near: 2, max_hosts: 64 };
 
-type SmallAnswer = Response<Full<Bytes>>;
+/// Response of a service endpoint.
+type EndpointResponse = Response<Full<Bytes>>;
 
-async fn serve_small(
+/// Serves every request of a listener with `answer` until the gateway stops.
+async fn serve_endpoint(
     state: Arc<GatewayState>,
     listener: TcpListener,
-    answer: fn(&GatewayState, &Request<Incoming>) -> SmallAnswer,
+    answer: fn(&GatewayState, &Request<Incoming>) -> EndpointResponse,
 ) {
     while let Some(stream) = accept_next(&listener, &state.stop).await {
         let state = state.clone();
@@ -42,7 +44,7 @@
             });
             let serving = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(HEAD_LIMIT)
+                .header_read_timeout(HEAD_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             tokio::select! {
                 outcome = serving => if let Err(error) = outcome {
@@ -54,14 +56,16 @@
     }
 }
 
-fn small(status: StatusCode, body: impl Into<Bytes>) -> SmallAnswer {
+/// Returns a response with a JSON body.
+fn json_response(status: StatusCode, body: impl Into<Bytes>) -> EndpointResponse {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-/// Where a caller stands, and where its work may run.
+/// Returns the zones by which a caller is steered: its own, those of its region, and those of the home
+/// regions in which its work may run.
 fn steering_area(state: &GatewayState, call: SteeringCall) -> SteeringArea {
     let homes = state.declared().map_or_else(Vec::new, |declared| declared.homes_of(&call.host));
     let home_zones = homes.iter().flat_map(|home| state.regions.zones_of(home));
@@ -72,60 +76,60 @@
     }
 }
 
-/// Tells callers which hosts to use.
+/// Serves steering: answers callers with the hosts to use.
 pub(crate) async fn serve_steering(state: Arc<GatewayState>, listener: TcpListener) {
-    serve_small(state, listener, |state, request| {
+    serve_endpoint(state, listener, |state, request| {
         let (mut parts, ()) = Request::new(()).into_parts();
         parts.uri = request.uri().clone();
         parts.method = request.method().clone();
         let Some(call) = state.calls.read_steering(&parts) else {
-            return small(StatusCode::NOT_FOUND, "{}");
+            return json_response(StatusCode::NOT_FOUND, "{}");
         };
         let is_ready = state.is_ready();
         let area = steering_area(state, call);
         let peers = lock(&state.peers);
         let mut random = lock(&state.random);
-        let hosts = peers.steer(&area, is_ready, NAMED_HOSTS, &mut **random, Instant::now());
+        let hosts = peers.steer(&area, is_ready, STEERING_BOUNDS, &mut **random, Instant::now());
         drop(random);
         drop(peers);
         if hosts.is_empty() {
-            return small(StatusCode::SERVICE_UNAVAILABLE, "{}");
+            return json_response(StatusCode::SERVICE_UNAVAILABLE, "{}");
         }
-        let keep = Duration::from_secs_f64(state.settings.steering_keep_s);
-        small(StatusCode::OK, state.calls.write_steering(&hosts, keep))
+        let ttl = Duration::from_secs_f64(state.settings.steering_keep_s);
+        json_response(StatusCode::OK, state.calls.write_steering(&hosts, ttl))
     })
     .await;
 }
 
-/// Tells the platform whether this host takes callers.
+/// Serves readiness to the platform: whether this host accepts callers' requests.
 pub(crate) async fn serve_readiness(state: Arc<GatewayState>, listener: TcpListener) {
-    serve_small(state, listener, |state, _| {
+    serve_endpoint(state, listener, |state, _| {
         if state.is_ready() {
-            small(StatusCode::OK, r#"{"ready":true}"#)
+            json_response(StatusCode::OK, r#"{"ready":true}"#)
         } else {
-            small(StatusCode::SERVICE_UNAVAILABLE, r#"{"ready":false}"#)
+            json_response(StatusCode::SERVICE_UNAVAILABLE, r#"{"ready":false}"#)
         }
     })
     .await;
 }
 
-/// Serves metrics as text.
+/// Serves the metrics in Prometheus' text format.
 pub(crate) async fn serve_metrics(state: Arc<GatewayState>, listener: TcpListener) {
-    serve_small(state, listener, |state, _| {
+    serve_endpoint(state, listener, |state, _| {
         let version = state.declared().map_or(0, |declared| declared.version());
-        let (heard, _) = lock(&state.peers).count_alive(Instant::now());
-        let held = lock(&state.jobs).jobs().count();
-        state.metrics.note_state(version, heard, held);
+        let (alive, _) = lock(&state.peers).count_alive(Instant::now());
+        let held_jobs = lock(&state.jobs).jobs().count();
+        state.metrics.note_state(version, alive, held_jobs);
         let drained = lock(&state.drains).drained().len();
         state.metrics.note_drained(drained);
         match state.metrics.render() {
             Ok(text) => {
-                let mut response = small(StatusCode::OK, text);
-                let kind = HeaderValue::from_static("text/plain; version=0.0.4");
-                response.headers_mut().insert(CONTENT_TYPE, kind);
+                let mut response = json_response(StatusCode::OK, text);
+                let content_type = HeaderValue::from_static("text/plain; version=0.0.4");
+                response.headers_mut().insert(CONTENT_TYPE, content_type);
                 response
             }
-            Err(error) => small(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
+            Err(error) => json_response(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
         }
     })
     .await;
