--- a/crates/cuminramp-gateway/src/sync/hosts.rs
+++ b/crates/cuminramp-gateway/src/sync/hosts.rs
@@ -13,13 +13,13 @@
 use crate::state::{GatewayState, lock};
 
 /// Name of the hosts table.
-const HOSTS_TABLE: &str = "hosts";
+const TABLE: &str = "hosts";
 /// Delay before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Returns the key of a host's row.
 fn key_of(address: &str) -> String {
-    format!("{HOSTS_TABLE}//{address}")
+    format!("{TABLE}//{address}")
 }
 
 /// Writes this host's row and retries until the write succeeds.
@@ -42,7 +42,7 @@
 
 /// Reads the rows of all hosts and sends a join request to each new one.
 pub(crate) async fn learn_hosts(state: &Arc<GatewayState>) -> Result<(), StoreError> {
-    let snapshot = state.store.snapshot(HOSTS_TABLE).await?;
+    let snapshot = state.store.snapshot(TABLE).await?;
     for row in snapshot.rows {
         let host = match decode_row::<HostRow>(&row.value) {
             Ok(host) => host,
