--- a/crates/cuminramp-quota/src/baseline.rs
+++ b/crates/cuminramp-quota/src/baseline.rs
@@ -1,26 +1,26 @@
-//! The baselines that the shards are weighed against.
+//! Quota policies that serve as a baseline for the sharded quota.
 
 use cuminramp_core::{Name, SortedMap};
 use tokio::time::Instant;
 
 use crate::{Admission, Millitokens, TeamLimits, TokenBucket};
 
-/// Each host may spend an equal fixed part of every team's limit, and nobody lends.
+/// Quota policy that gives each host an equal, fixed part of every team's limit, without lending.
 ///
-/// It never exceeds a limit while the number of hosts is right, and it refuses a team whose callers
-/// all connect to one host once they use that host's part.
+/// It never exceeds a limit while the number of hosts is right. A team whose callers all connect to
+/// one host is refused as soon as they use up that host's part.
 #[derive(Debug, Default)]
 pub struct StaticSplit {
     teams: SortedMap<Name, TokenBucket>,
 }
 
 impl StaticSplit {
-    /// No team has been seen yet.
+    /// Returns a split without buckets. A team's bucket is created full at its first request.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Decides on a request, with `hosts` hosts sharing the limit.
+    /// Admits or refuses a request that costs `cost`, where `hosts` hosts share the limit.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
@@ -41,13 +41,13 @@
         now: Instant,
     ) -> Admission {
         let (rate, burst) = (limits.rate / hosts.max(1), limits.burst / hosts.max(1));
-        let make = || TokenBucket::full(rate, burst, now);
-        let bucket = self.teams.get_or_insert_with(team.clone(), make);
+        let new_bucket = || TokenBucket::full(rate, burst, now);
+        let bucket = self.teams.get_or_insert_with(team.clone(), new_bucket);
         let taken = bucket.take(cost, now);
         if taken == cost {
             return Admission::Admitted(None);
         }
         bucket.put_back(taken);
-        Admission::Refused(bucket.wait_for(cost, now))
+        Admission::Refused(bucket.time_until(cost, now))
     }
 }
--- a/crates/cuminramp-quota/src/bucket.rs
+++ b/crates/cuminramp-quota/src/bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket that accounts for tokens on loan.
+//! A token bucket that accounts for tokens on loan to other hosts.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,36 +7,35 @@
 
 use crate::Millitokens;
 
-/// Nanoseconds in a second.
-const SECOND_NANOS: u128 = 1_000_000_000;
+const NANOS_PER_SECOND: u128 = 1_000_000_000;
 
-/// Tokens that left for another host and may still be spent there.
+/// Tokens lent to another host, which may spend them until `expires_at`.
 #[derive(Clone, Copy, Debug)]
 struct Loan {
-    until: Instant,
+    expires_at: Instant,
     amount: Millitokens,
 }
 
-/// One slice of a team's rate and burst.
+/// A token bucket with one slice of a team's rate and burst.
 ///
-/// A lent token is debited here at once but spent elsewhere a little later. Were the bucket to fill
-/// up again meanwhile, both could be spent in one instant, and the team would exceed its burst; one
-/// would notice more requests at the targets in one second than burst and rate allow. So the level
-/// and the loans that may still be spent stay under the burst together.
+/// A lent token is debited here at once but may be spent by the borrower until the loan expires. If
+/// the bucket refilled in the meantime, the lent token and its replacement could be spent at the
+/// same instant, and the targets would see more requests in one second than burst and rate allow.
+/// Hence the level plus all unexpired loans never exceeds the burst.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate: Millitokens,
     burst: Millitokens,
     level: Millitokens,
-    /// Parts of a millitoken, in its billionths, that have flowed in.
+    /// Fraction of a millitoken that has accrued, in billionths of a millitoken.
     remainder: u128,
-    at: Instant,
+    updated_at: Instant,
     loans: VecDeque<Loan>,
     on_loan: Millitokens,
 }
 
 impl TokenBucket {
-    /// An empty bucket that fills by `rate` millitokens a second up to `burst`.
+    /// Returns an empty bucket that refills at `rate` millitokens per second up to `burst`.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
@@ -53,18 +52,18 @@
             burst,
             level: 0,
             remainder: 0,
-            at: now,
+            updated_at: now,
             loans: VecDeque::new(),
             on_loan: 0,
         }
     }
 
-    /// A full bucket.
+    /// Returns a full bucket that refills at `rate` millitokens per second up to `burst`.
     pub fn full(rate: Millitokens, burst: Millitokens, now: Instant) -> Self {
         TokenBucket { level: burst, ..TokenBucket::empty(rate, burst, now) }
     }
 
-    /// Changes rate and burst; what is above the new burst is lost.
+    /// Sets rate and burst. Tokens above the new burst are discarded.
     pub fn set_limits(&mut self, rate: Millitokens, burst: Millitokens, now: Instant) {
         self.advance(now);
         self.rate = rate;
@@ -72,13 +71,13 @@
         self.level = self.level.min(burst.saturating_sub(self.on_loan));
     }
 
-    /// How many millitokens are there.
+    /// Returns the number of millitokens in the bucket.
     pub fn level(&mut self, now: Instant) -> Millitokens {
         self.advance(now);
         self.level
     }
 
-    /// Takes up to `amount` for use at once; returns how many it got.
+    /// Takes up to `amount` millitokens for immediate use and returns how many were taken.
     pub fn take(&mut self, amount: Millitokens, now: Instant) -> Millitokens {
         self.advance(now);
         let taken = amount.min(self.level);
@@ -86,46 +85,48 @@
         taken
     }
 
-    /// Puts back what [`take`](Self::take) gave in the same step and was not used.
+    /// Puts back unused tokens. They must come from a [`take`](Self::take) at the same instant.
     pub fn put_back(&mut self, amount: Millitokens) {
         self.level = (self.level + amount).min(self.burst.saturating_sub(self.on_loan));
     }
 
-    /// Takes up to `amount` for another host, which may spend it until `valid` has passed here.
-    pub fn lend(&mut self, amount: Millitokens, valid: Duration, now: Instant) -> Millitokens {
+    /// Takes up to `amount` millitokens for another host, which may spend them until `validity` has
+    /// passed on this host's clock. Returns how many were lent.
+    pub fn lend(&mut self, amount: Millitokens, validity: Duration, now: Instant) -> Millitokens {
         let lent = self.take(amount, now);
         if lent > 0 {
-            self.loans.push_back(Loan { until: now + valid, amount: lent });
+            self.loans.push_back(Loan { expires_at: now + validity, amount: lent });
             self.on_loan += lent;
         }
         lent
     }
 
-    /// How many millitokens are lent and may still be spent.
+    /// Returns the number of millitokens that are lent and may still be spent.
     pub fn on_loan(&mut self, now: Instant) -> Millitokens {
         self.advance(now);
         self.on_loan
     }
 
-    /// Takes over the tokens of an earlier owner of the slice: its level, and its loans that may be
-    /// spent until `valid` has passed.
-    pub fn take_over(
+    /// Adds the tokens that an earlier owner of the slice handed over: its level and its loans,
+    /// which may be spent until `validity` has passed.
+    pub fn add_handover(
         &mut self,
         level: Millitokens,
         on_loan: Millitokens,
-        valid: Duration,
+        validity: Duration,
         now: Instant,
     ) {
         self.advance(now);
         if on_loan > 0 {
-            self.loans.push_back(Loan { until: now + valid, amount: on_loan });
+            self.loans.push_back(Loan { expires_at: now + validity, amount: on_loan });
             self.on_loan += on_loan;
         }
         self.level = (self.level + level).min(self.burst.saturating_sub(self.on_loan));
     }
 
-    /// How long until `amount` is there, if nobody else takes any.
-    pub fn wait_for(&mut self, amount: Millitokens, now: Instant) -> Duration {
+    /// Returns the time until the bucket holds `amount` millitokens, provided that none are taken
+    /// before; [`Duration::MAX`] if the rate is 0.
+    pub fn time_until(&mut self, amount: Millitokens, now: Instant) -> Duration {
         self.advance(now);
         let missing = amount.saturating_sub(self.level);
         if self.rate == 0 {
@@ -134,32 +135,34 @@
         Duration::from_millis((missing * 1_000).div_ceil(self.rate))
     }
 
-    /// Lets time pass: tokens flow in, and loans end when they can't be spent any more.
+    /// Advances the bucket to `now`: adds accrued tokens and removes expired loans.
     fn advance(&mut self, now: Instant) {
-        while let Some(loan) = self.loans.front().copied().filter(|loan| loan.until <= now) {
-            self.fill_until(loan.until);
+        while let Some(loan) = self.loans.front().copied().filter(|loan| loan.expires_at <= now) {
+            self.refill(loan.expires_at);
             self.loans.pop_front();
             self.on_loan -= loan.amount;
         }
-        self.fill_until(now);
+        self.refill(now);
     }
 
-    fn fill_until(&mut self, now: Instant) {
-        let nanos = now.saturating_duration_since(self.at).as_nanos();
+    /// Adds the tokens that have accrued since the last update, up to the burst less the tokens on
+    /// loan.
+    fn refill(&mut self, now: Instant) {
+        let nanos = now.saturating_duration_since(self.updated_at).as_nanos();
         if nanos == 0 {
             return;
         }
-        let flow = nanos * u128::from(self.rate) + self.remainder;
-        let room = self.burst.saturating_sub(self.on_loan).saturating_sub(self.level);
-        let whole = flow / SECOND_NANOS;
-        if whole >= u128::from(room) {
-            self.level += room;
+        let accrued = nanos * u128::from(self.rate) + self.remainder;
+        let free = self.burst.saturating_sub(self.on_loan).saturating_sub(self.level);
+        let inflow = accrued / NANOS_PER_SECOND;
+        if inflow >= u128::from(free) {
+            self.level += free;
             self.remainder = 0;
         } else {
-            self.level += whole as Millitokens;
-            self.remainder = flow % SECOND_NANOS;
+            self.level += inflow as Millitokens;
+            self.remainder = accrued % NANOS_PER_SECOND;
         }
-        self.at = now;
+        self.updated_at = now;
     }
 }
 
--- a/crates/cuminramp-quota/src/bucket/tests.rs
+++ b/crates/cuminramp-quota/src/bucket/tests.rs
@@ -7,7 +7,7 @@
 
 const RATE: u64 = 20_000;
 const BURST: u64 = 10_000;
-const VALID: Duration = Duration::from_millis(200);
+const LOAN_VALIDITY: Duration = Duration::from_millis(200);
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -28,8 +28,9 @@
 }
 
 proptest! {
-    // A host lends tokens and its own bucket fills again; the borrower waits as long as it may
-    // and spends them together with what the bucket gives. A team would get twice its burst.
+    // A host lends tokens and its own bucket refills. If the bucket ignored its loans, the borrower
+    // could wait until just before the loan expires and spend it together with the refilled bucket,
+    // and the team would get twice its burst.
     #[test]
     fn no_window_holds_more_than_burst_and_rate(steps in steps()) {
         let start = Instant::now();
@@ -42,10 +43,10 @@
             match step {
                 Step::Wait(millis) => now += Duration::from_millis(millis),
                 Step::Take(amount) => spent.push((now, bucket.take(amount, now))),
-                Step::Lend(amount) => loans.push((now + VALID, bucket.lend(amount, VALID, now))),
+                Step::Lend(amount) => loans.push((now + LOAN_VALIDITY, bucket.lend(amount, LOAN_VALIDITY, now))),
                 Step::SpendLoan(index) if index < loans.len() => {
-                    let (until, amount) = loans.remove(index);
-                    if now < until {
+                    let (expires_at, amount) = loans.remove(index);
+                    if now < expires_at {
                         spent.push((now, amount));
                     }
                 }
--- a/crates/cuminramp-quota/src/handover.rs
+++ b/crates/cuminramp-quota/src/handover.rs
@@ -108,7 +108,7 @@
         }
         let begun = slice.bucket.level(now);
         slice.bucket.take(begun, now);
-        slice.bucket.take_over(given.level, given.on_loan, policy.borrow_valid, now);
+        slice.bucket.add_handover(given.level, given.on_loan, policy.borrow_valid, now);
     }
 }
 
--- a/crates/cuminramp-quota/src/ledger.rs
+++ b/crates/cuminramp-quota/src/ledger.rs
@@ -287,7 +287,7 @@
         };
         let amount = slice.bucket.lend(request.amount, valid, now);
         slice.used |= amount > 0;
-        let wait = slice.bucket.wait_for(request.amount.min(TOKEN), now);
+        let wait = slice.bucket.time_until(request.amount.min(TOKEN), now);
         let left = slice.bucket.level(now);
         LoanAnswer { amount, is_owner: true, left, valid, wait: wait.clamp(LEAST_WAIT, MOST_WAIT) }
     }
--- a/crates/cuminramp-quota/src/lib.rs
+++ b/crates/cuminramp-quota/src/lib.rs
@@ -1,15 +1,18 @@
-//! Rate and burst over all hosts: shards, rights and tokens.
+//! Rate and burst limits over all hosts, by shards, ownership and lent tokens.
 //!
-//! A team's rate and burst are cut into equal slices, and each slice belongs to a shard. A row of
-//! the table says which run of which host owns a shard; only that run spends the shard's tokens.
-//! Since the slices add up to the team's limit and each is kept by one token bucket, the team can't
-//! exceed its limit, whatever messages are lost, late or repeated.
+//! A team's rate and burst are divided into equal slices, and each slice belongs to a shard. A row
+//! of the table records which incarnation of which host owns a shard, and only that
+//! incarnation spends or lends the shard's tokens. The slices add up to the team's limit and each
+//! is enforced by one token bucket, so the team can't exceed its limit even if messages are lost,
+//! delayed or repeated.
 //!
 //! - [`ShardMap`] holds the rows and plans claims and moves of ownership.
 //! - [`QuotaLedger`] holds the buckets, admits requests, lends tokens and credits borrowed ones.
-//! - [`TokenBucket`] is one slice, with the tokens that were lent and may still be spent.
+//! - [`TokenBucket`] holds the tokens of one slice and tracks the lent tokens that may still be
+//!   spent.
 //!
-//! `docs/design/quota.md` weighs the ways; `models/tokens.pml` checks the protocol.
+//! `docs/design/quota.md` compares the alternatives; `models/tokens.pml` models the protocol for
+//! the model checker.
 
 mod allotment;
 mod baseline;
@@ -27,8 +30,8 @@
 };
 pub use shards::{Inheritance, ShardMap, ShardMove, ShardRecord};
 
-/// A thousandth of a token; whole numbers, so that no rounding ever mints one.
+/// Thousandths of a token. An integer, so that rounding never creates tokens.
 pub type Millitokens = u64;
 
-/// One token.
+/// One token, in millitokens.
 pub const TOKEN: Millitokens = 1_000;
--- a/crates/cuminramp-quota/src/team.rs
+++ b/crates/cuminramp-quota/src/team.rs
@@ -200,7 +200,7 @@
         now: Instant,
     ) -> Duration {
         let buckets = self.buckets.iter_mut();
-        let own = buckets.map(|(_, slice)| slice.bucket.wait_for(missing, now)).min();
+        let own = buckets.map(|(_, slice)| slice.bucket.time_until(missing, now)).min();
         let own = own.filter(|_| trusted);
         let others = self.dry.values().map(|until| until.saturating_duration_since(now)).min();
         let wait = own.into_iter().chain(others).min().unwrap_or(LEAST_WAIT);
