--- a/crates/cuminramp-quota/src/ledger.rs
+++ b/crates/cuminramp-quota/src/ledger.rs
@@ -35,7 +35,7 @@
     /// How many owners are asked for one request.
     pub borrow_attempts: usize,
     /// Within which time a generation is in force on every host.
-    pub settle: Duration,
+    pub max_generation_lag: Duration,
     /// How long a host may not have run, or not have heard of others, before it doubts what it owns.
     pub pause_limit: Duration,
     /// Others take nothing over from a run that they have not heard of for less than this.
@@ -54,7 +54,7 @@
             borrow_valid: Duration::from_secs(1),
             borrow_ahead: Duration::from_millis(100),
             borrow_attempts: 5,
-            settle: Duration::from_secs(7),
+            max_generation_lag: Duration::from_secs(7),
             pause_limit: Duration::from_secs(2),
             claim_wait: Duration::from_secs(10),
             forget_after: Duration::from_secs(600),
@@ -249,7 +249,7 @@
         let Some(quota) = self.teams.get_mut(team) else {
             return Admission::Refused(MOST_WAIT);
         };
-        let cost = cost.min(quota.allotment.burst()).max(1);
+        let cost = cost.min(quota.limits.max_request_cost()).max(1);
         if !borrowed {
             quota.note_demand(cost, now);
         }
@@ -324,13 +324,13 @@
     pub(crate) fn prepare(&mut self, team: &Name, limits: TeamLimits, now: Instant) {
         let policy = &self.policy;
         let quota = self.teams.get_or_insert_with(team.clone(), || TeamQuota::new(limits, now));
-        quota.allotment.update(limits, policy.settle, now);
+        quota.limits.update(limits, policy.max_generation_lag, now);
         quota.used_at = now;
-        let count = quota.allotment.slices(policy);
+        let count = quota.limits.slice_count(policy);
         for (index, shard) in (0..count).zip(slice_shards(team, count, policy.shards)) {
             if self.shards.is_mine(shard) {
                 let record = self.shards.record(shard);
-                let slice = quota.allotment.slice(index, policy);
+                let slice = quota.limits.slice(index, policy);
                 quota.hold_slice(index, &record, slice, loan_validity(limits, policy), now);
             } else {
                 quota.buckets.remove(&index);
--- a/crates/cuminramp-quota/src/lib.rs
+++ b/crates/cuminramp-quota/src/lib.rs
@@ -14,20 +14,20 @@
 //! `docs/design/quota.md` compares the alternatives; `models/tokens.pml` models the protocol for
 //! the model checker.
 
-mod allotment;
 mod baseline;
 mod bucket;
 mod handover;
 mod ledger;
+mod limits;
 mod shards;
 mod team;
 
-pub use allotment::{TeamLimits, slice_count, slice_shards};
 pub use baseline::StaticSplit;
 pub use bucket::TokenBucket;
 pub use ledger::{
     Admission, BorrowPlan, LedgerPolicy, Lender, LoanAnswer, LoanRequest, QuotaLedger, TickOutcome,
 };
+pub use limits::{TeamLimits, slice_count, slice_shards};
 pub use shards::{Inheritance, ShardMap, ShardMove, ShardRecord};
 
 /// Thousandths of a token. An integer, so that rounding never creates tokens.
--- a/crates/cuminramp-quota/src/team.rs
+++ b/crates/cuminramp-quota/src/team.rs
@@ -6,10 +6,10 @@
 use cuminramp_core::{Name, SortedMap, rank_by_score};
 use tokio::time::Instant;
 
-use crate::allotment::{Allotment, SliceLimits};
 use crate::ledger::{
     BorrowPlan, LEAST_VALID, LEAST_WAIT, LedgerPolicy, Lender, LoanAnswer, MOST_WAIT,
 };
+use crate::limits::{EffectiveLimits, SliceLimits};
 use crate::{Millitokens, ShardMap, ShardRecord, TOKEN, TeamLimits, TokenBucket, slice_shards};
 
 /// Demand is averaged over about this time.
@@ -32,7 +32,7 @@
 /// One team on this host.
 #[derive(Debug)]
 pub(crate) struct TeamQuota {
-    pub(crate) allotment: Allotment,
+    pub(crate) limits: EffectiveLimits,
     /// By slice: the bucket and the epoch of the shard under which it was filled.
     pub(crate) buckets: SortedMap<u32, SliceBucket>,
     caches: Vec<TokenCache>,
@@ -74,7 +74,7 @@
 impl TeamQuota {
     pub(crate) fn new(limits: TeamLimits, now: Instant) -> Self {
         TeamQuota {
-            allotment: Allotment::new(limits),
+            limits: EffectiveLimits::new(limits),
             buckets: SortedMap::new(),
             caches: Vec::new(),
             dry: SortedMap::new(),
@@ -219,7 +219,7 @@
         policy: &LedgerPolicy,
         now: Instant,
     ) -> Vec<Lender> {
-        let count = self.allotment.slices(policy);
+        let count = self.limits.slice_count(policy);
         let others =
             slice_shards(team, count, policy.shards).filter(|shard| !shards.is_mine(*shard));
         let ready = others.filter(|shard| self.dry.get(shard).is_none_or(|until| *until <= now));
@@ -235,7 +235,7 @@
     /// What an owner probably has now.
     fn expected_level(&self, shard: u32, policy: &LedgerPolicy, now: Instant) -> Millitokens {
         let Some(hint) = self.hints.get(&shard) else { return Millitokens::MAX };
-        let slice = self.allotment.slice(0, policy);
+        let slice = self.limits.slice(0, policy);
         let passed = now.saturating_duration_since(hint.at).as_millis() as Millitokens;
         (hint.left + slice.rate * passed / 1_000).min(slice.burst)
     }
