--- a/crates/cuminramp-quota/src/limits.rs
+++ b/crates/cuminramp-quota/src/limits.rs
@@ -65,7 +65,7 @@
     const ZERO: SliceLimits = SliceLimits { rate: 0, burst: 0 };
 
     /// Returns the limits of slice `index`; zero if `limits` is divided into fewer slices.
-    fn for_slice(limits: TeamLimits, index: u32, policy: &LedgerPolicy) -> Self {
+    fn new(limits: TeamLimits, index: u32, policy: &LedgerPolicy) -> Self {
         let count = slice_count(limits, policy);
         if index >= count {
             return SliceLimits::ZERO;
@@ -133,10 +133,10 @@
     /// Returns the limits of slice `index` at present: the lowest of all generations that may be in
     /// force.
     pub(crate) fn slice(&self, index: u32, policy: &LedgerPolicy) -> SliceLimits {
-        let current = SliceLimits::for_slice(self.current, index, policy);
-        self.previous.iter().fold(current, |lowest, previous| {
-            lowest.min(SliceLimits::for_slice(previous.limits, index, policy))
-        })
+        let current = SliceLimits::new(self.current, index, policy);
+        self.previous
+            .iter()
+            .fold(current, |lowest, old| lowest.min(SliceLimits::new(old.limits, index, policy)))
     }
 
     /// Returns the highest cost that a single request can be charged.
