--- a/crates/cuminramp-quota/src/handover.rs
+++ b/crates/cuminramp-quota/src/handover.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::ledger::slice_number;
-use crate::{Inheritance, QuotaLedger, ShardMove, TeamLimits};
+use crate::{HandoverState, QuotaLedger, ShardMove, TeamLimits};
 
 impl QuotaLedger {
     /// What the next owner of a shard gets, to be sent once the row says that it is the owner.
@@ -19,22 +19,24 @@
     ///
     /// Nothing is passed on while tokens that an owner before this one lent may still be spent and this
     /// run does not know of them: the next owner would not wait for them either.
-    pub fn collect_handover(&mut self, change: &ShardMove, now: Instant) -> Option<Handover> {
-        let record = self.shards.record(change.shard);
-        let waited = record.since.is_some_and(|at| at + self.policy().borrow_valid <= now);
-        if record.epoch > 1 && record.inherited.is_none() && !waited {
+    pub fn collect_handover(&mut self, shard_move: &ShardMove, now: Instant) -> Option<Handover> {
+        let record = self.shards.record(shard_move.shard);
+        let loans_ended =
+            record.observed_at.is_some_and(|at| at + self.policy().borrow_valid <= now);
+        if record.epoch > 1 && record.handover.is_none() && !loans_ended {
             return None;
         }
-        let since = record.inherited.map(|inherited| inherited.since).or(record.since);
-        let owned = since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-        let first_owner = match record.inherited {
-            Some(inherited) => inherited.is_full,
+        let filling_since = record.handover.map(|state| state.filling_since).or(record.observed_at);
+        let filling =
+            filling_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
+        let first_owner = match record.handover {
+            Some(state) => state.is_full,
             None => record.epoch == 1,
         };
         let policy = self.policy().clone();
         let mut buckets = Vec::new();
         for (team, quota) in self.teams.iter_mut() {
-            let index = slice_number(team, change.shard, &policy);
+            let index = slice_number(team, shard_move.shard, &policy);
             let Some(slice) = quota.buckets.get_mut(&index) else { continue };
             if slice.epoch == record.epoch {
                 let level = slice.bucket.level(now);
@@ -43,8 +45,8 @@
             }
         }
         Some(Handover {
-            row: encode_row(&change.to_row()),
-            owned_ms: owned.as_millis() as u64,
+            row: encode_row(&shard_move.to_row()),
+            owned_ms: filling.as_millis() as u64,
             first_owner,
             buckets,
         })
@@ -62,23 +64,23 @@
     ) -> bool {
         let Ok(row) = decode_row::<ShardRow>(&handover.row) else { return false };
         self.shards.observe(&row, now);
-        let owned = Duration::from_millis(handover.owned_ms);
-        let since = now.checked_sub(owned).unwrap_or(now);
-        let inherited = Inheritance { since, is_full: handover.first_owner };
-        if !self.shards.inherit(row.shard, row.epoch, inherited) {
+        let filling = Duration::from_millis(handover.owned_ms);
+        let filling_since = now.checked_sub(filling).unwrap_or(now);
+        let state = HandoverState { filling_since, is_full: handover.first_owner };
+        if !self.shards.record_handover(row.shard, row.epoch, state) {
             return false;
         }
-        self.drop_started(row.shard);
-        for given in &handover.buckets {
-            let Some((team, limits)) = limits_of(&given.team) else { continue };
-            self.take_bucket(row.shard, &team, limits, given, now);
+        self.discard_unused_buckets(row.shard);
+        for received in &handover.buckets {
+            let Some((team, limits)) = limits_of(&received.team) else { continue };
+            self.accept_bucket(row.shard, &team, limits, received, now);
         }
         true
     }
 
-    /// Forgets buckets that were begun before the handover came and not used: what they had since
+    /// Forgets buckets that were accrued before the handover came and not used: what they had since
     /// then is less than what comes.
-    fn drop_started(&mut self, shard: u32) {
+    fn discard_unused_buckets(&mut self, shard: u32) {
         let policy = self.policy().clone();
         for (team, quota) in self.teams.iter_mut() {
             let index = slice_number(team, shard, &policy);
@@ -88,12 +90,12 @@
         }
     }
 
-    fn take_bucket(
+    fn accept_bucket(
         &mut self,
         shard: u32,
         team: &Name,
         limits: TeamLimits,
-        given: &HandoverBucket,
+        received: &HandoverBucket,
         now: Instant,
     ) {
         self.prepare(team, limits, now);
@@ -106,9 +108,9 @@
         if slice.used {
             return;
         }
-        let begun = slice.bucket.level(now);
-        slice.bucket.take(begun, now);
-        slice.bucket.add_handover(given.level, given.on_loan, policy.borrow_valid, now);
+        let accrued = slice.bucket.level(now);
+        slice.bucket.take(accrued, now);
+        slice.bucket.add_handover(received.level, received.on_loan, policy.borrow_valid, now);
     }
 }
 
--- a/crates/cuminramp-quota/src/ledger.rs
+++ b/crates/cuminramp-quota/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The buckets of one host: it admits, lends and borrows.
+//! The buckets of one host, from which it admits requests and lends to other hosts.
 
 use std::time::Duration;
 
@@ -8,40 +8,42 @@
 use crate::team::TeamQuota;
 use crate::{Millitokens, ShardMap, TOKEN, TeamLimits, slice_count, slice_shards};
 
-/// The shortest time for which lent tokens are valid.
-pub(crate) const LEAST_VALID: Duration = Duration::from_millis(20);
-/// Of a slice's burst, at most this part may be out on loans at full rate.
-const LOAN_SHARE: u64 = 4;
-/// The shortest wait that a caller is given.
-pub(crate) const LEAST_WAIT: Duration = Duration::from_millis(10);
-/// The longest wait that a caller is given.
-pub(crate) const MOST_WAIT: Duration = Duration::from_secs(60);
+/// Minimum time for which lent tokens may be spent.
+pub(crate) const MIN_LOAN_VALIDITY: Duration = Duration::from_millis(20);
+/// Loans at the full rate may occupy at most one part in this many of a slice's burst.
+const LOAN_BURST_DIVISOR: u64 = 4;
+/// Minimum retry delay returned to a caller.
+pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(10);
+/// Maximum retry delay returned to a caller.
+pub(crate) const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// How the ledger works; the same on every host.
+/// Parameters of the ledger. They must be the same on every host.
 #[derive(Clone, Debug)]
 pub struct LedgerPolicy {
-    /// Shards in all.
+    /// Total number of shards.
     pub shards: u32,
-    /// Slices of a small team.
+    /// Number of slices of a team with a low rate.
     pub slices: u32,
-    /// One more slice for each so many millitokens a second.
+    /// Rate in millitokens per second for which a team gets one more slice.
     pub slice_rate: Millitokens,
-    /// Most slices of a team.
+    /// Maximum number of slices of a team.
     pub max_slices: u32,
-    /// The longest time for which lent tokens are valid.
+    /// Maximum time for which lent tokens may be spent.
     pub borrow_valid: Duration,
-    /// How far ahead a host borrows for the demand it sees.
-    pub borrow_ahead: Duration,
-    /// How many owners are asked for one request.
+    /// Time span whose expected demand a host borrows in advance.
+    pub prefetch_window: Duration,
+    /// Maximum number of owners asked for the tokens of one request.
     pub borrow_attempts: usize,
-    /// Within which time a generation is in force on every host.
+    /// Time within which a configuration generation is in force on every host.
     pub max_generation_lag: Duration,
-    /// How long a host may not have run, or not have heard of others, before it doubts what it owns.
+    /// Maximum time for which this host may not have run, or not have received anything from
+    /// others, before it stops relying on its ownership of shards.
     pub pause_limit: Duration,
-    /// Others take nothing over from a run that they have not heard of for less than this.
+    /// Minimum time for which an incarnation must have been silent before other hosts claim its
+    /// shards.
     pub claim_wait: Duration,
-    /// After how long without use a team's buckets are dropped.
-    pub forget_after: Duration,
+    /// Time without use after which a team's buckets are dropped.
+    pub unused_team_ttl: Duration,
 }
 
 impl Default for LedgerPolicy {
@@ -52,98 +54,100 @@
             slice_rate: 10 * TOKEN,
             max_slices: 32,
             borrow_valid: Duration::from_secs(1),
-            borrow_ahead: Duration::from_millis(100),
+            prefetch_window: Duration::from_millis(100),
             borrow_attempts: 5,
             max_generation_lag: Duration::from_secs(7),
             pause_limit: Duration::from_secs(2),
             claim_wait: Duration::from_secs(10),
-            forget_after: Duration::from_secs(600),
+            unused_team_ttl: Duration::from_secs(600),
         }
     }
 }
 
-/// An owner to ask.
+/// An owner that can be asked for tokens.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Lender {
-    /// The shard whose tokens are asked for.
+    /// The shard whose tokens are requested.
     pub shard: u32,
-    /// Its owner.
+    /// The incarnation that owns the shard.
     pub owner: HostId,
 }
 
-/// Whom to ask for how much.
+/// Which owners to ask for tokens, and for how many.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BorrowPlan {
-    /// In this order, until the amount is there.
+    /// Owners, to be asked in this order until the amount is reached.
     pub lenders: Vec<Lender>,
-    /// What is missing for the request.
+    /// Millitokens that the request lacks.
     pub missing: Millitokens,
-    /// What to ask for beyond that, for the requests that follow.
+    /// Millitokens to borrow in addition, for the requests that follow.
     pub ahead: Millitokens,
 }
 
-/// What becomes of a request.
+/// Decision on a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It may run. With a plan, tokens should be borrowed in the background for those that follow.
+    /// The request may run. If there is a plan, tokens should be borrowed in the background for the
+    /// requests that follow.
     Admitted(Option<BorrowPlan>),
-    /// Tokens are missing here; others may have them.
+    /// This host lacks tokens that other owners may have.
     Borrow(BorrowPlan),
-    /// The team is above its rate and burst; it may come back after this time.
+    /// The team is above its rate and burst. The request may be retried after this time.
     Refused(Duration),
 }
 
-/// A peer's wish for tokens of a shard that this host owns.
+/// A request of another host for tokens of a shard that this host owns.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LoanRequest {
-    /// The team.
+    /// The team whose tokens are requested.
     pub team: Name,
-    /// The shard.
+    /// The shard whose tokens are requested.
     pub shard: u32,
-    /// How many millitokens.
+    /// Millitokens requested.
     pub amount: Millitokens,
 }
 
-/// The answer to it.
+/// The response to a [`LoanRequest`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoanAnswer {
-    /// Debited here already.
+    /// Millitokens lent, which the owner has already debited.
     pub amount: Millitokens,
-    /// Whether this run owns the shard.
+    /// Whether the incarnation that responds owns the shard.
     pub is_owner: bool,
-    /// What is left here.
+    /// Millitokens that the owner has left.
     pub left: Millitokens,
-    /// How long they may be spent, counted from when they were asked for.
+    /// Time for which the lent tokens may be spent, counted from when the borrower sent its
+    /// request.
     pub valid: Duration,
-    /// When a token will be here again.
+    /// Time until the owner has a token to lend again.
     pub wait: Duration,
 }
 
-/// All teams on this host.
+/// Quota state of all teams on this host.
 #[derive(Debug)]
 pub struct QuotaLedger {
     policy: LedgerPolicy,
     pub(crate) shards: ShardMap,
     pub(crate) teams: SortedMap<Name, TeamQuota>,
     ticked_at: Instant,
-    /// The last moment at which it was sure, while it is not.
-    doubtful_since: Option<Instant>,
+    /// Last moment at which this host could rely on its ownership of shards; `None` while it can.
+    unreliable_since: Option<Instant>,
 }
 
-/// What a look at the clock showed.
+/// Result of [`QuotaLedger::tick`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TickOutcome {
-    /// This run owns what it thinks it owns.
-    Sure,
-    /// It may not; it spends nothing of its own.
-    Doubtful,
-    /// Others may have taken its shards over: it must go on as a new run, see
+    /// This incarnation owns the shards that its map shows as its own.
+    Reliable,
+    /// It may no longer own its shards, so it spends and lends no tokens of its own.
+    Unreliable,
+    /// Other hosts may have claimed its shards. It must continue as a new incarnation, see
     /// [`renew`](QuotaLedger::renew).
     Lost,
 }
 
 impl QuotaLedger {
-    /// A ledger of the run `me` that owns nothing yet.
+    /// Returns a ledger of the incarnation `me`, which owns no shards yet.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
@@ -161,81 +165,86 @@
             shards,
             teams: SortedMap::new(),
             ticked_at: now,
-            doubtful_since: None,
+            unreliable_since: None,
         }
     }
 
-    /// Who owns what.
+    /// Returns the map of shard owners.
     pub fn shards(&self) -> &ShardMap {
         &self.shards
     }
 
-    /// Who owns what, to change.
+    /// Returns the map of shard owners for changes.
     pub fn shards_mut(&mut self) -> &mut ShardMap {
         &mut self.shards
     }
 
-    /// The policy in force.
+    /// Returns the policy in force.
     pub fn policy(&self) -> &LedgerPolicy {
         &self.policy
     }
 
-    /// Called some times a second; `confirmed` says whether this host hears from the table or from
-    /// most other hosts.
+    /// Checks whether this incarnation can rely on its ownership of shards. Must be called several
+    /// times a second. `confirmed` is whether this host is in contact with the table or with most
+    /// other hosts.
     ///
-    /// A gap shows that this process was paused: others may have found it dead and taken its shards,
-    /// as they may while it hears of nobody. Reading the map would not settle that, since a claim may
-    /// still be on its way to the table; so after `claim_wait` the run counts as over.
+    /// A gap between calls shows that the process was paused: other hosts may have declared it dead
+    /// and claimed its shards, as they may while it has no contact. Reading the map would not
+    /// settle that, since a claim may still be on its way to the table. So after `claim_wait` the
+    /// incarnation counts as ended.
     pub fn tick(&mut self, confirmed: bool, now: Instant) -> TickOutcome {
         let last = self.ticked_at;
         self.ticked_at = now;
         let paused = now.saturating_duration_since(last) > self.policy.pause_limit;
         if paused || !confirmed {
-            let sure_at = last.checked_sub(self.policy.pause_limit).unwrap_or(last);
-            self.doubtful_since.get_or_insert(sure_at);
+            let reliable_at = last.checked_sub(self.policy.pause_limit).unwrap_or(last);
+            self.unreliable_since.get_or_insert(reliable_at);
         }
-        let Some(since) = self.doubtful_since else { return TickOutcome::Sure };
+        let Some(since) = self.unreliable_since else { return TickOutcome::Reliable };
         if now.saturating_duration_since(since) > self.policy.claim_wait {
             return TickOutcome::Lost;
         }
         if paused || !confirmed {
-            return TickOutcome::Doubtful;
+            return TickOutcome::Unreliable;
         }
-        self.doubtful_since = None;
-        TickOutcome::Sure
+        self.unreliable_since = None;
+        TickOutcome::Reliable
     }
 
-    /// Goes on as the run `me`, which owns nothing; the shards of the earlier run are free for all.
+    /// Continues as the incarnation `me`, which owns no shards. Any host may claim those of the
+    /// previous incarnation.
     pub fn renew(&mut self, me: HostId, confirmed: bool, now: Instant) {
         self.shards.renew(me);
         self.teams.retain(|_, team| {
             team.buckets = SortedMap::new();
             true
         });
-        self.doubtful_since = (!confirmed).then_some(now);
+        self.unreliable_since = (!confirmed).then_some(now);
         self.ticked_at = now;
     }
 
-    /// Whether it spends nothing of its own for now.
+    /// Returns whether this host currently spends no tokens of its own, since it can't rely on its
+    /// ownership of shards.
     pub fn is_unreliable(&self) -> bool {
-        self.doubtful_since.is_some()
+        self.unreliable_since.is_some()
     }
 
-    /// Whether any host is known to own a part of a team's rate; before that nobody can admit it.
+    /// Returns whether any slice of a team has a known owner. Until then no host can admit the
+    /// team's requests.
     pub fn has_owner(&self, team: &str, limits: TeamLimits) -> bool {
         let count = slice_count(limits, &self.policy);
         slice_shards(team, count, self.policy.shards)
             .any(|shard| self.shards.owner(shard).is_some())
     }
 
-    /// Drops teams that were not used for long; their buckets would be full by now.
+    /// Drops teams that have been unused for `unused_team_ttl`. Their buckets would be full by now.
     pub fn forget_unused(&mut self, now: Instant) {
-        let limit = self.policy.forget_after;
-        self.teams.retain(|_, team| now.saturating_duration_since(team.used_at) < limit);
+        let limit = self.policy.unused_team_ttl;
+        self.teams.retain(|_, team| now.saturating_duration_since(team.last_used_at) < limit);
     }
 
-    /// Decides on a request of `team` that costs `cost`. `borrowed` says that owners were asked for
-    /// it already, so that a shortage is a refusal.
+    /// Decides on a request of `team` that costs `cost`. `borrowed` is whether owners were already
+    /// asked for tokens for it, so that a shortage leads to a refusal.
     pub fn admit(
         &mut self,
         team: &Name,
@@ -245,93 +254,105 @@
         now: Instant,
     ) -> Admission {
         self.prepare(team, limits, now);
-        let trusted = self.trusts_itself(now);
+        let use_own = self.may_spend_own(now);
         let Some(quota) = self.teams.get_mut(team) else {
-            return Admission::Refused(MOST_WAIT);
+            return Admission::Refused(MAX_RETRY_AFTER);
         };
         let cost = cost.min(quota.limits.max_request_cost()).max(1);
         if !borrowed {
-            quota.note_demand(cost, now);
+            quota.record_demand(cost, now);
         }
-        let taken = quota.take(cost, trusted, now);
+        let taken = quota.take(cost, use_own, now);
         if taken.total() == cost {
-            let ahead = quota.plan_ahead(team, &self.shards, &self.policy, trusted, now);
+            let ahead = quota.plan_prefetch(team, &self.shards, &self.policy, use_own, now);
             return Admission::Admitted(ahead);
         }
         let missing = cost - taken.total();
         quota.put_back(taken, now);
         if borrowed {
-            return Admission::Refused(quota.wait_for(missing, trusted, now));
+            return Admission::Refused(quota.retry_after(missing, use_own, now));
         }
         match quota.plan_borrow(team, missing, &self.shards, &self.policy, now) {
             Some(plan) => Admission::Borrow(plan),
-            None => Admission::Refused(quota.wait_for(missing, trusted, now)),
+            None => Admission::Refused(quota.retry_after(missing, use_own, now)),
         }
     }
 
-    /// Lends tokens of an own shard: debits first, so that a lost answer loses tokens and mints none.
+    /// Lends tokens of a shard that this incarnation owns. They are debited before the response is
+    /// sent, so a lost response loses tokens but never duplicates them.
     pub fn lend(&mut self, request: &LoanRequest, limits: TeamLimits, now: Instant) -> LoanAnswer {
         self.prepare(&request.team, limits, now);
-        let trusted = self.trusts_itself(now);
+        let use_own = self.may_spend_own(now);
         let valid = loan_validity(limits, &self.policy);
-        let nothing = LoanAnswer { amount: 0, is_owner: false, left: 0, valid, wait: LEAST_WAIT };
-        if !trusted || !self.shards.is_mine(request.shard) {
-            return nothing;
+        let refusal =
+            LoanAnswer { amount: 0, is_owner: false, left: 0, valid, wait: MIN_RETRY_AFTER };
+        if !use_own || !self.shards.is_mine(request.shard) {
+            return refusal;
         }
         let slice = slice_number(&request.team, request.shard, &self.policy);
         let Some(quota) = self.teams.get_mut(&request.team) else {
-            return nothing;
+            return refusal;
         };
         let Some(slice) = quota.buckets.get_mut(&slice) else {
-            return nothing;
+            return refusal;
         };
         let amount = slice.bucket.lend(request.amount, valid, now);
         slice.used |= amount > 0;
         let wait = slice.bucket.time_until(request.amount.min(TOKEN), now);
         let left = slice.bucket.level(now);
-        LoanAnswer { amount, is_owner: true, left, valid, wait: wait.clamp(LEAST_WAIT, MOST_WAIT) }
+        LoanAnswer {
+            amount,
+            is_owner: true,
+            left,
+            valid,
+            wait: wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
+        }
     }
 
-    /// Credits tokens that an owner lent; they count from the moment the request left, which comes
-    /// before the owner's debit, so they end here before the owner's bucket fills up for them.
+    /// Credits tokens that an owner lent. Their validity counts from `requested_at`, when the
+    /// request was sent. That is before the owner's debit, so they expire here before the owner's
+    /// bucket refills in their place.
     pub fn credit(
         &mut self,
         team: &Name,
         lender: &Lender,
-        answer: LoanAnswer,
-        asked_at: Instant,
+        response: LoanAnswer,
+        requested_at: Instant,
         now: Instant,
     ) {
         let Some(quota) = self.teams.get_mut(team) else {
             return;
         };
-        quota.note_answer(lender.shard, answer, asked_at, now);
+        quota.record_response(lender.shard, response, requested_at, now);
     }
 
-    /// Notes that an owner gave no answer, so that it isn't asked again at once.
+    /// Records that an owner did not respond, so that it isn't asked again at once.
     pub fn mark_silent(&mut self, team: &Name, lender: &Lender, now: Instant) {
         if let Some(quota) = self.teams.get_mut(team) {
-            quota.note_dry(lender.shard, now + self.policy.borrow_valid);
+            quota.record_exhausted(lender.shard, now + self.policy.borrow_valid);
         }
     }
 
-    pub(crate) fn trusts_itself(&self, now: Instant) -> bool {
+    /// Returns whether this host may spend its own tokens: it can rely on its ownership of shards
+    /// and hasn't been paused since the last tick.
+    pub(crate) fn may_spend_own(&self, now: Instant) -> bool {
         let paused = now.saturating_duration_since(self.ticked_at) > self.policy.pause_limit;
-        self.doubtful_since.is_none() && !paused
+        self.unreliable_since.is_none() && !paused
     }
 
-    /// Brings a team's buckets in line with its limits and with the shards owned here.
+    /// Creates, updates and removes a team's buckets according to its limits and the shards owned
+    /// here.
     pub(crate) fn prepare(&mut self, team: &Name, limits: TeamLimits, now: Instant) {
         let policy = &self.policy;
         let quota = self.teams.get_or_insert_with(team.clone(), || TeamQuota::new(limits, now));
         quota.limits.update(limits, policy.max_generation_lag, now);
-        quota.used_at = now;
+        quota.last_used_at = now;
         let count = quota.limits.slice_count(policy);
         for (index, shard) in (0..count).zip(slice_shards(team, count, policy.shards)) {
             if self.shards.is_mine(shard) {
                 let record = self.shards.record(shard);
                 let slice = quota.limits.slice(index, policy);
-                quota.hold_slice(index, &record, slice, loan_validity(limits, policy), now);
+                quota.ensure_bucket(index, &record, slice, loan_validity(limits, policy), now);
             } else {
                 quota.buckets.remove(&index);
             }
@@ -339,13 +360,15 @@
     }
 }
 
-/// How long lent tokens are valid: so short that loans at the full rate leave most of the burst.
+/// Returns how long lent tokens may be spent: a time so short that loans at the full rate leave
+/// most of the burst available.
 fn loan_validity(limits: TeamLimits, policy: &LedgerPolicy) -> Duration {
-    let millis = limits.burst * 1_000 / (limits.rate.max(1) * LOAN_SHARE);
-    Duration::from_millis(millis).clamp(LEAST_VALID, policy.borrow_valid.max(LEAST_VALID))
+    let millis = limits.burst * 1_000 / (limits.rate.max(1) * LOAN_BURST_DIVISOR);
+    Duration::from_millis(millis)
+        .clamp(MIN_LOAN_VALIDITY, policy.borrow_valid.max(MIN_LOAN_VALIDITY))
 }
 
-/// Which slice of a team lies in a shard.
+/// Returns the index of the slice of a team that a shard holds.
 pub(crate) fn slice_number(team: &str, shard: u32, policy: &LedgerPolicy) -> u32 {
     let first = slice_shards(team, 1, policy.shards).next().unwrap_or(0);
     (shard + policy.shards - first) % policy.shards
--- a/crates/cuminramp-quota/src/ledger/tests.rs
+++ b/crates/cuminramp-quota/src/ledger/tests.rs
@@ -17,7 +17,7 @@
     "team".into()
 }
 
-/// Three ledgers, each of which owns one of the team's three shards.
+/// Returns three ledgers, each of which owns one of the team's three shards.
 fn ledgers(now: Instant) -> Vec<QuotaLedger> {
     let policy = LedgerPolicy { shards: 8, ..LedgerPolicy::default() };
     let mut ledgers: Vec<QuotaLedger> =
@@ -31,23 +31,23 @@
     ledgers
 }
 
-/// Asks every lender of a plan, as the daemon does.
+/// Asks the lenders of a plan in order, as the daemon does.
 fn borrow(ledgers: &mut [QuotaLedger], plan: &BorrowPlan, now: Instant) {
     let mut missing = plan.missing + plan.ahead;
     for lender in &plan.lenders {
         let index = ledgers.iter().position(|ledger| *ledger.shards.me() == lender.owner).unwrap();
         let loan = LoanRequest { team: team(), shard: lender.shard, amount: missing };
-        let answer = ledgers[index].lend(&loan, LIMITS, now);
-        ledgers[0].credit(&team(), lender, answer, now, now);
-        missing = missing.saturating_sub(answer.amount);
+        let response = ledgers[index].lend(&loan, LIMITS, now);
+        ledgers[0].credit(&team(), lender, response, now, now);
+        missing = missing.saturating_sub(response.amount);
         if missing == 0 {
             return;
         }
     }
 }
 
-/// Runs one request at the first ledger, borrowing where it has to.
-fn run(ledgers: &mut [QuotaLedger], now: Instant) -> bool {
+/// Admits one request at the first ledger, which borrows if it has to.
+fn admit_or_borrow(ledgers: &mut [QuotaLedger], now: Instant) -> bool {
     match ledgers[0].admit(&team(), LIMITS, TOKEN, false, now) {
         Admission::Admitted(_) => true,
         Admission::Refused(_) => false,
@@ -58,14 +58,15 @@
     }
 }
 
-// All callers of a team connect to one host. Refused there for tokens that other hosts hold, the
-// team would get a third of what it pays for. The answers to what is asked for ahead never come.
+// All callers of a team connect to one host. If it refused them for tokens that other hosts hold,
+// the team would get only a third of its limit. Responses to what is borrowed in advance never
+// arrive here.
 #[test]
 fn one_host_can_spend_the_whole_burst() {
     let now = Instant::now();
     let mut ledgers = ledgers(now);
 
-    let admitted = (0..40).filter(|_| run(&mut ledgers, now)).count();
+    let admitted = (0..40).filter(|_| admit_or_borrow(&mut ledgers, now)).count();
 
     assert_eq!(admitted, 30);
 }
@@ -76,7 +77,7 @@
 fn owners_without_tokens_are_not_asked_again_at_once() {
     let now = Instant::now();
     let mut ledgers = ledgers(now);
-    while run(&mut ledgers, now) {}
+    while admit_or_borrow(&mut ledgers, now) {}
 
     let next = ledgers[0].admit(&team(), LIMITS, TOKEN, false, now);
 
@@ -88,35 +89,35 @@
     matches!(ledger.admit(&team(), LIMITS, TOKEN, true, now), Admission::Admitted(_))
 }
 
-// The process is paused; others find it dead, take its shards and spend them. Once it wakes it
-// would spend the same tokens again, also before it has looked at the clock.
+// The process is paused; other hosts declare it dead, claim its shards and spend their tokens. When
+// it resumes it would spend the same tokens again, even before its next tick.
 #[test]
-fn a_host_that_was_paused_for_long_goes_on_as_a_new_run() {
+fn a_host_that_was_paused_for_long_continues_as_a_new_incarnation() {
     let now = Instant::now();
     let mut ledgers = ledgers(now);
-    let woken = now + Duration::from_secs(11);
+    let resumed = now + Duration::from_secs(11);
 
-    let before_tick = admits(&mut ledgers[0], woken);
-    let outcome = ledgers[0].tick(true, woken);
-    ledgers[0].renew(HostId { incarnation: 2, ..host(0) }, true, woken);
-    let after_renewal = admits(&mut ledgers[0], woken);
+    let before_tick = admits(&mut ledgers[0], resumed);
+    let outcome = ledgers[0].tick(true, resumed);
+    ledgers[0].renew(HostId { incarnation: 2, ..host(0) }, true, resumed);
+    let after_renewal = admits(&mut ledgers[0], resumed);
 
     assert_eq!((before_tick, outcome, after_renewal), (false, TickOutcome::Lost, false));
 }
 
-// A short pause, or a short time without word from anybody: nobody can have taken anything over,
-// so the host need not give up what it owns.
+// After a short pause, or a short time without receiving anything from other hosts, nobody can have
+// claimed the host's shards yet, so it need not give them up.
 #[test_case(Duration::from_secs(3), true; "paused")]
 #[test_case(Duration::from_millis(200), false; "cut off")]
-fn a_short_doubt_passes(gap: Duration, confirmed: bool) {
+fn a_short_unreliable_period_ends(gap: Duration, confirmed: bool) {
     let now = Instant::now();
     let mut ledgers = ledgers(now);
 
     let first = ledgers[0].tick(confirmed, now + gap);
-    let in_doubt = admits(&mut ledgers[0], now + gap);
+    let while_unreliable = admits(&mut ledgers[0], now + gap);
     let second = ledgers[0].tick(true, now + gap + Duration::from_millis(200));
     let after = admits(&mut ledgers[0], now + gap + Duration::from_millis(200));
 
-    assert_eq!((first, in_doubt), (TickOutcome::Doubtful, false));
-    assert_eq!((second, after), (TickOutcome::Sure, true));
+    assert_eq!((first, while_unreliable), (TickOutcome::Unreliable, false));
+    assert_eq!((second, after), (TickOutcome::Reliable, true));
 }
--- a/crates/cuminramp-quota/src/lib.rs
+++ b/crates/cuminramp-quota/src/lib.rs
@@ -28,7 +28,7 @@
     Admission, BorrowPlan, LedgerPolicy, Lender, LoanAnswer, LoanRequest, QuotaLedger, TickOutcome,
 };
 pub use limits::{TeamLimits, slice_count, slice_shards};
-pub use shards::{Inheritance, ShardMap, ShardMove, ShardRecord};
+pub use shards::{HandoverState, ShardMap, ShardMove, ShardRecord};
 
 /// Thousandths of a token. An integer, so that rounding never creates tokens.
 pub type Millitokens = u64;
--- a/crates/cuminramp-quota/src/shards.rs
+++ b/crates/cuminramp-quota/src/shards.rs
@@ -14,18 +14,18 @@
     /// The number of that ownership; 0: nobody ever owned it.
     pub epoch: u64,
     /// When this host learnt of it.
-    pub since: Option<Instant>,
+    pub observed_at: Option<Instant>,
     /// Whether this host has stopped spending it so as to give it away.
     pub released: bool,
     /// What the earlier owner passed on; `None` where nothing came.
-    pub inherited: Option<Inheritance>,
+    pub handover: Option<HandoverState>,
 }
 
 /// What buckets that nobody used have of an earlier owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Inheritance {
+pub struct HandoverState {
     /// Since when they fill.
-    pub since: Instant,
+    pub filling_since: Instant,
     /// Whether they are full.
     pub is_full: bool,
 }
@@ -127,24 +127,24 @@
         *record = ShardRecord {
             owner: Some(owner),
             epoch: row.epoch,
-            since: Some(now),
+            observed_at: Some(now),
             released: false,
-            inherited: None,
+            handover: None,
         };
         true
     }
 
     /// Notes what the earlier owner of an own shard passed on; says whether it is the first time.
-    pub(crate) fn inherit(&mut self, shard: u32, epoch: u64, inherited: Inheritance) -> bool {
+    pub(crate) fn record_handover(&mut self, shard: u32, epoch: u64, state: HandoverState) -> bool {
         if !self.is_mine(shard) {
             return false;
         }
         let record = &mut self.records[shard as usize];
-        let is_news = record.epoch == epoch && record.inherited.is_none();
-        if is_news {
-            record.inherited = Some(inherited);
+        let is_first = record.epoch == epoch && record.handover.is_none();
+        if is_first {
+            record.handover = Some(state);
         }
-        is_news
+        is_first
     }
 
     /// All known rows, for a peer.
--- a/crates/cuminramp-quota/src/team.rs
+++ b/crates/cuminramp-quota/src/team.rs
@@ -1,4 +1,5 @@
-//! One team on one host: its buckets, what it borrowed, and what it knows of other owners.
+//! The quota of one team on one host: its buckets, borrowed tokens and what is known of other
+//! owners.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -7,63 +8,65 @@
 use tokio::time::Instant;
 
 use crate::ledger::{
-    BorrowPlan, LEAST_VALID, LEAST_WAIT, LedgerPolicy, Lender, LoanAnswer, MOST_WAIT,
+    BorrowPlan, LedgerPolicy, Lender, LoanAnswer, MAX_RETRY_AFTER, MIN_LOAN_VALIDITY,
+    MIN_RETRY_AFTER,
 };
 use crate::limits::{EffectiveLimits, SliceLimits};
 use crate::{Millitokens, ShardMap, ShardRecord, TOKEN, TeamLimits, TokenBucket, slice_shards};
 
-/// Demand is averaged over about this time.
+/// Time constant of the exponential average of demand.
 const DEMAND_WINDOW: Duration = Duration::from_secs(1);
 
-/// What an owner had left at some moment.
+/// Tokens that an owner had left at `at`.
 #[derive(Clone, Copy, Debug)]
-struct LenderHint {
-    left: Millitokens,
+struct LenderLevel {
+    level: Millitokens,
     at: Instant,
 }
 
-/// Borrowed tokens that may still be spent.
+/// Borrowed tokens that may be spent until `expires_at`.
 #[derive(Clone, Copy, Debug)]
 struct TokenCache {
-    until: Instant,
+    expires_at: Instant,
     amount: Millitokens,
 }
 
-/// One team on this host.
+/// State of one team on this host.
 #[derive(Debug)]
 pub(crate) struct TeamQuota {
     pub(crate) limits: EffectiveLimits,
-    /// By slice: the bucket and the epoch of the shard under which it was filled.
+    /// Buckets by slice.
     pub(crate) buckets: SortedMap<u32, SliceBucket>,
     caches: Vec<TokenCache>,
-    /// By shard: before this moment its owner has none to lend.
-    dry: SortedMap<u32, Instant>,
-    /// By shard: what its owner had left when it was last asked.
-    hints: SortedMap<u32, LenderHint>,
-    /// Millitokens a second asked for here, averaged.
+    /// Time before which an owner has no tokens to lend, by shard.
+    exhausted_until: SortedMap<u32, Instant>,
+    /// Tokens that an owner had left according to its last response, by shard.
+    lender_levels: SortedMap<u32, LenderLevel>,
+    /// Average demand on this host, in millitokens per second.
     demand: f64,
     demand_at: Instant,
-    /// Until then nothing more is asked for ahead.
-    ahead_until: Instant,
-    pub(crate) used_at: Instant,
+    /// Time before which no more tokens are borrowed in advance.
+    next_prefetch_at: Instant,
+    pub(crate) last_used_at: Instant,
 }
 
+/// Bucket of one slice, with the shard epoch under which it was created.
 #[derive(Debug)]
 pub(crate) struct SliceBucket {
     pub(crate) epoch: u64,
     limits: SliceLimits,
     pub(crate) bucket: TokenBucket,
-    /// Whether anything of it was spent or lent.
+    /// Whether any of its tokens were spent or lent.
     pub(crate) used: bool,
 }
 
-/// What was taken for one request, and from where.
-pub(crate) struct Taken {
+/// Tokens taken for one request, by source.
+pub(crate) struct Withdrawal {
     from_buckets: Vec<(u32, Millitokens)>,
     from_caches: Vec<TokenCache>,
 }
 
-impl Taken {
+impl Withdrawal {
     pub(crate) fn total(&self) -> Millitokens {
         let buckets: Millitokens = self.from_buckets.iter().map(|(_, amount)| amount).sum();
         let caches: Millitokens = self.from_caches.iter().map(|cache| cache.amount).sum();
@@ -77,45 +80,46 @@
             limits: EffectiveLimits::new(limits),
             buckets: SortedMap::new(),
             caches: Vec::new(),
-            dry: SortedMap::new(),
-            hints: SortedMap::new(),
+            exhausted_until: SortedMap::new(),
+            lender_levels: SortedMap::new(),
             demand: 0.0,
             demand_at: now,
-            ahead_until: now,
-            used_at: now,
+            next_prefetch_at: now,
+            last_used_at: now,
         }
     }
 
-    /// Has a bucket for a slice of an own shard.
+    /// Creates or updates the bucket for a slice of a shard that this incarnation owns.
     ///
-    /// What an earlier owner left unspent is unknown unless it passed it on, and it may have spent
-    /// and lent all just now: so the bucket starts empty, and only once those loans have ended. Only
-    /// the first owner of all starts full.
-    pub(crate) fn hold_slice(
+    /// Without a handover, the tokens that the earlier owner left are unknown; it may just have
+    /// spent and lent all of them. So the bucket starts empty, and starts filling only once its
+    /// loans have expired. Only the shard's first owner starts with a full bucket, or an owner to
+    /// which it handed over a bucket that was never used.
+    pub(crate) fn ensure_bucket(
         &mut self,
         index: u32,
         record: &ShardRecord,
         limits: SliceLimits,
-        valid: Duration,
+        validity: Duration,
         now: Instant,
     ) {
-        let make = || {
-            let taken_at = record.since.unwrap_or(now);
-            let (since, is_full) = match record.inherited {
-                Some(inherited) => (inherited.since, inherited.is_full),
-                None => (taken_at + valid, record.epoch == 1),
+        let new_bucket = || {
+            let observed_at = record.observed_at.unwrap_or(now);
+            let (filling_since, is_full) = match record.handover {
+                Some(state) => (state.filling_since, state.is_full),
+                None => (observed_at + validity, record.epoch == 1),
             };
             let (rate, burst) = (limits.rate, limits.burst);
             let bucket = if is_full {
                 TokenBucket::full(rate, burst, now)
             } else {
-                TokenBucket::empty(rate, burst, since)
+                TokenBucket::empty(rate, burst, filling_since)
             };
             SliceBucket { epoch: record.epoch, limits, bucket, used: false }
         };
-        let slice = self.buckets.get_or_insert_with(index, make);
+        let slice = self.buckets.get_or_insert_with(index, new_bucket);
         if slice.epoch != record.epoch {
-            *slice = make();
+            *slice = new_bucket();
         }
         if slice.limits != limits {
             slice.bucket.set_limits(limits.rate, limits.burst, now);
@@ -123,48 +127,50 @@
         }
     }
 
-    /// An owner answered a wish for tokens that left this host at `asked_at`.
-    pub(crate) fn note_answer(
+    /// Records an owner's response to a loan request that this host sent at `requested_at`.
+    pub(crate) fn record_response(
         &mut self,
         shard: u32,
-        answer: LoanAnswer,
-        asked_at: Instant,
+        response: LoanAnswer,
+        requested_at: Instant,
         now: Instant,
     ) {
-        self.hints.insert(shard, LenderHint { left: answer.left, at: now });
-        let until = asked_at + answer.valid;
-        if answer.amount > 0 && until > now {
-            self.caches.push(TokenCache { until, amount: answer.amount });
+        self.lender_levels.insert(shard, LenderLevel { level: response.left, at: now });
+        let expires_at = requested_at + response.valid;
+        if response.amount > 0 && expires_at > now {
+            self.caches.push(TokenCache { expires_at, amount: response.amount });
         } else {
-            self.note_dry(shard, now + answer.wait);
+            self.record_exhausted(shard, now + response.wait);
         }
     }
 
-    /// Before this moment an owner has none to lend.
-    pub(crate) fn note_dry(&mut self, shard: u32, until: Instant) {
-        self.dry.insert(shard, until);
+    /// Records that the owner of `shard` has no tokens to lend before `until`.
+    pub(crate) fn record_exhausted(&mut self, shard: u32, until: Instant) {
+        self.exhausted_until.insert(shard, until);
     }
 
-    pub(crate) fn note_demand(&mut self, cost: Millitokens, now: Instant) {
-        let passed = now.saturating_duration_since(self.demand_at).as_secs_f64();
+    /// Adds the cost of a request to the average demand.
+    pub(crate) fn record_demand(&mut self, cost: Millitokens, now: Instant) {
+        let elapsed = now.saturating_duration_since(self.demand_at).as_secs_f64();
         self.demand_at = now;
-        let kept = (-passed / DEMAND_WINDOW.as_secs_f64()).exp();
-        self.demand = self.demand * kept + cost as f64 / DEMAND_WINDOW.as_secs_f64();
+        let decay = (-elapsed / DEMAND_WINDOW.as_secs_f64()).exp();
+        self.demand = self.demand * decay + cost as f64 / DEMAND_WINDOW.as_secs_f64();
     }
 
-    /// Takes from the stash that ends first, then from own buckets.
-    pub(crate) fn take(&mut self, cost: Millitokens, trusted: bool, now: Instant) -> Taken {
-        self.caches.retain(|cache| cache.until > now && cache.amount > 0);
-        self.caches.sort_by_key(|cache| cache.until);
-        let mut taken = Taken { from_buckets: Vec::new(), from_caches: Vec::new() };
+    /// Takes up to `cost` from borrowed tokens, those that expire first before others, then from
+    /// own buckets if `use_own` is set.
+    pub(crate) fn take(&mut self, cost: Millitokens, use_own: bool, now: Instant) -> Withdrawal {
+        self.caches.retain(|cache| cache.expires_at > now && cache.amount > 0);
+        self.caches.sort_by_key(|cache| cache.expires_at);
+        let mut taken = Withdrawal { from_buckets: Vec::new(), from_caches: Vec::new() };
         let mut missing = cost;
         for cache in &mut self.caches {
             let amount = missing.min(cache.amount);
             cache.amount -= amount;
             missing -= amount;
-            taken.from_caches.push(TokenCache { until: cache.until, amount });
+            taken.from_caches.push(TokenCache { expires_at: cache.expires_at, amount });
         }
-        if !trusted {
+        if !use_own {
             return taken;
         }
         for (index, slice) in self.buckets.iter_mut() {
@@ -176,42 +182,48 @@
         taken
     }
 
-    pub(crate) fn put_back(&mut self, taken: Taken, now: Instant) {
+    /// Returns tokens to where they were taken from. Borrowed tokens that have expired are dropped.
+    pub(crate) fn put_back(&mut self, taken: Withdrawal, now: Instant) {
         for (index, amount) in taken.from_buckets {
             if let Some(slice) = self.buckets.get_mut(&index) {
                 slice.bucket.put_back(amount);
             }
         }
         let returned = taken.from_caches.into_iter();
-        self.caches.extend(returned.filter(|cache| cache.amount > 0 && cache.until > now));
+        self.caches.extend(returned.filter(|cache| cache.amount > 0 && cache.expires_at > now));
     }
 
-    fn level(&mut self, trusted: bool, now: Instant) -> Millitokens {
+    /// Returns the number of millitokens that can be spent here without borrowing.
+    fn level(&mut self, use_own: bool, now: Instant) -> Millitokens {
         let cached: Millitokens = self.caches.iter().map(|cache| cache.amount).sum();
         let buckets = self.buckets.iter_mut();
         let own: Millitokens = buckets.map(|(_, slice)| slice.bucket.level(now)).sum();
-        if trusted { cached + own } else { cached }
+        if use_own { cached + own } else { cached }
     }
 
-    pub(crate) fn wait_for(
+    /// Returns the time after which a refused request should be retried: until an own bucket holds
+    /// `missing` millitokens or another owner may lend again, whichever is sooner.
+    pub(crate) fn retry_after(
         &mut self,
         missing: Millitokens,
-        trusted: bool,
+        use_own: bool,
         now: Instant,
     ) -> Duration {
         let buckets = self.buckets.iter_mut();
         let own = buckets.map(|(_, slice)| slice.bucket.time_until(missing, now)).min();
-        let own = own.filter(|_| trusted);
-        let others = self.dry.values().map(|until| until.saturating_duration_since(now)).min();
-        let wait = own.into_iter().chain(others).min().unwrap_or(LEAST_WAIT);
-        wait.clamp(LEAST_WAIT, MOST_WAIT)
+        let own = own.filter(|_| use_own);
+        let others =
+            self.exhausted_until.values().map(|until| until.saturating_duration_since(now)).min();
+        let wait = own.into_iter().chain(others).min().unwrap_or(MIN_RETRY_AFTER);
+        wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Owners of this team's other slices that may have tokens, the richest first.
+    /// Returns the owners of the team's other slices that may have tokens, by descending expected
+    /// level.
     ///
-    /// Asked in one fixed order, the first owner would be drained by all hosts while the last one is
-    /// never asked, and the team would be refused with a part of its rate unspent. Owners that were
-    /// never asked come first, each host beginning with another one.
+    /// With one fixed order, all hosts would empty the first owner while the last one is never
+    /// asked, and the team would be refused with part of its rate unspent. Owners that were never
+    /// asked come first, in an order that differs from host to host.
     fn lenders(
         &self,
         team: &Name,
@@ -222,9 +234,10 @@
         let count = self.limits.slice_count(policy);
         let others =
             slice_shards(team, count, policy.shards).filter(|shard| !shards.is_mine(*shard));
-        let ready = others.filter(|shard| self.dry.get(shard).is_none_or(|until| *until <= now));
-        let owned =
-            ready.filter_map(|shard| Some(Lender { shard, owner: shards.owner(shard)?.clone() }));
+        let available = others
+            .filter(|shard| self.exhausted_until.get(shard).is_none_or(|until| *until <= now));
+        let owned = available
+            .filter_map(|shard| Some(Lender { shard, owner: shards.owner(shard)?.clone() }));
         let mut lenders: Vec<Lender> = owned.collect();
         rank_by_score(&shards.me().address, &mut lenders, |lender| &lender.owner.address);
         lenders.sort_by_key(|lender| Reverse(self.expected_level(lender.shard, policy, now)));
@@ -232,21 +245,23 @@
         lenders
     }
 
-    /// What an owner probably has now.
+    /// Estimates the tokens that an owner has now from its last response and the rate of a slice.
     fn expected_level(&self, shard: u32, policy: &LedgerPolicy, now: Instant) -> Millitokens {
-        let Some(hint) = self.hints.get(&shard) else { return Millitokens::MAX };
+        let Some(last) = self.lender_levels.get(&shard) else { return Millitokens::MAX };
         let slice = self.limits.slice(0, policy);
-        let passed = now.saturating_duration_since(hint.at).as_millis() as Millitokens;
-        (hint.left + slice.rate * passed / 1_000).min(slice.burst)
+        let elapsed = now.saturating_duration_since(last.at).as_millis() as Millitokens;
+        (last.level + slice.rate * elapsed / 1_000).min(slice.burst)
     }
 
-    /// What to ask for beyond the request at hand: nothing where the next one is far off, since what
-    /// is not spent in time is lost.
-    fn ahead(&self, policy: &LedgerPolicy) -> Millitokens {
-        let ahead = (self.demand * policy.borrow_ahead.as_secs_f64()) as Millitokens;
+    /// Returns how much to borrow beyond the current request. 0 if that is less than one token: the
+    /// next request is then far off, and tokens that are not spent in time are lost.
+    fn prefetch_amount(&self, policy: &LedgerPolicy) -> Millitokens {
+        let ahead = (self.demand * policy.prefetch_window.as_secs_f64()) as Millitokens;
         if ahead < TOKEN { 0 } else { ahead }
     }
 
+    /// Plans to borrow `missing` for a request and more for those that follow. `None` if no owner
+    /// may have tokens.
     pub(crate) fn plan_borrow(
         &self,
         team: &Name,
@@ -256,28 +271,30 @@
         now: Instant,
     ) -> Option<BorrowPlan> {
         let lenders = self.lenders(team, shards, policy, now);
-        let ahead = self.ahead(policy);
+        let ahead = self.prefetch_amount(policy);
         (!lenders.is_empty()).then_some(BorrowPlan { lenders, missing, ahead })
     }
 
-    /// Plans to borrow before the tokens here run out, so that no request waits for a round trip.
-    pub(crate) fn plan_ahead(
+    /// Plans to borrow before the tokens here run out, so that requests don't have to wait for a
+    /// round trip.
+    pub(crate) fn plan_prefetch(
         &mut self,
         team: &Name,
         shards: &ShardMap,
         policy: &LedgerPolicy,
-        trusted: bool,
+        use_own: bool,
         now: Instant,
     ) -> Option<BorrowPlan> {
-        let ahead = self.ahead(policy);
-        if ahead < TOKEN || self.ahead_until > now || self.level(trusted, now) > ahead {
+        let ahead = self.prefetch_amount(policy);
+        if ahead < TOKEN || self.next_prefetch_at > now || self.level(use_own, now) > ahead {
             return None;
         }
         let lenders = self.lenders(team, shards, policy, now);
         let first = lenders.into_iter().next()?;
-        // Its answer is awaited before more is asked for ahead. A request that lacks tokens asks all
-        // the same: it would be refused while the tokens are on their way.
-        self.ahead_until = now + LEAST_VALID;
+        // Leaves time for the response before more is borrowed in advance. A request that lacks
+        // tokens borrows all the same: it would otherwise be refused while the tokens are on their
+        // way.
+        self.next_prefetch_at = now + MIN_LOAN_VALIDITY;
         Some(BorrowPlan { lenders: vec![first], missing: 0, ahead })
     }
 }
