--- a/crates/cuminramp-quota/src/handover.rs
+++ b/crates/cuminramp-quota/src/handover.rs
@@ -1,4 +1,4 @@
-//! Passes a shard's tokens on to its next owner.
+//! Handover of a shard's tokens to its next owner.
 
 use std::time::Duration;
 
@@ -12,13 +12,14 @@
 use crate::{HandoverState, QuotaLedger, ShardMove, TeamLimits};
 
 impl QuotaLedger {
-    /// What the next owner of a shard gets, to be sent once the row says that it is the owner.
+    /// Returns the handover for the next owner of a shard, to be sent once the row names that
+    /// owner.
     ///
-    /// This run has released the shard and spends none of it, so what is in the buckets now belongs
-    /// to whom it is sent to, and to nobody if that is lost.
+    /// This incarnation has released the shard and spends none of its tokens, so what is in the
+    /// buckets now belongs to the next owner, and to nobody if the message is lost.
     ///
-    /// Nothing is passed on while tokens that an owner before this one lent may still be spent and this
-    /// run does not know of them: the next owner would not wait for them either.
+    /// Returns `None` while tokens lent by an owner before this one may still be spent and this
+    /// incarnation has no record of them: the next owner would not wait for their expiry either.
     pub fn collect_handover(&mut self, shard_move: &ShardMove, now: Instant) -> Option<Handover> {
         let record = self.shards.record(shard_move.shard);
         let loans_ended =
@@ -52,10 +53,11 @@
         })
     }
 
-    /// Takes what the earlier owner of a shard passed on; says whether it was taken. A second copy,
-    /// one of another epoch or one for a shard that this run does not own changes nothing.
+    /// Applies the handover from the earlier owner of a shard and returns whether it was applied. A
+    /// repeated handover, one of another epoch, or one for a shard that this incarnation does not
+    /// own changes nothing.
     ///
-    /// `limits_of` gives a team's limits, `None` for one that is not declared any more.
+    /// `limits_of` returns a team's limits, `None` for a team that is no longer declared.
     pub fn take_handover(
         &mut self,
         handover: &Handover,
@@ -78,8 +80,8 @@
         true
     }
 
-    /// Forgets buckets that were accrued before the handover came and not used: what they had since
-    /// then is less than what comes.
+    /// Drops the buckets of a shard that were created before the handover arrived and have not been
+    /// used. The tokens that they accrued since then are fewer than those handed over.
     fn discard_unused_buckets(&mut self, shard: u32) {
         let policy = self.policy().clone();
         for (team, quota) in self.teams.iter_mut() {
@@ -90,6 +92,8 @@
         }
     }
 
+    /// Replaces the tokens of a bucket by those that the earlier owner handed over, unless the
+    /// bucket has been used.
     fn accept_bucket(
         &mut self,
         shard: u32,
@@ -103,8 +107,8 @@
         let index = slice_number(team, shard, &policy);
         let Some(quota) = self.teams.get_mut(team) else { return };
         let Some(slice) = quota.buckets.get_mut(&index) else { return };
-        // What was spent of a bucket since it began was not in the earlier one: taking that too would
-        // be too much.
+        // Tokens already spent from this bucket did not come from the earlier owner's bucket.
+        // Adding the tokens of that one as well could exceed what one bucket would have held.
         if slice.used {
             return;
         }
--- a/crates/cuminramp-quota/src/handover/tests.rs
+++ b/crates/cuminramp-quota/src/handover/tests.rs
@@ -21,18 +21,18 @@
     slice_shards("team", 1, 8).next().unwrap()
 }
 
-fn take_ownership(ledger: &mut QuotaLedger, change: &ShardMove, now: Instant) {
+fn apply_move(ledger: &mut QuotaLedger, change: &ShardMove, now: Instant) {
     ledger.shards_mut().observe(&change.to_row(), now);
 }
 
-/// Two ledgers, the first of which owns the team's one shard.
+/// Returns two ledgers, the first of which owns the team's only shard.
 fn ledgers(now: Instant) -> (QuotaLedger, QuotaLedger) {
-    let mut giver = QuotaLedger::new(host(1), policy(), now);
-    let mut taker = QuotaLedger::new(host(2), policy(), now);
+    let mut previous = QuotaLedger::new(host(1), policy(), now);
+    let mut next = QuotaLedger::new(host(2), policy(), now);
     let first = ShardMove { shard: shard(), from_epoch: 0, owner: host(1) };
-    take_ownership(&mut giver, &first, now);
-    take_ownership(&mut taker, &first, now);
-    (giver, taker)
+    apply_move(&mut previous, &first, now);
+    apply_move(&mut next, &first, now);
+    (previous, next)
 }
 
 fn admitted(ledger: &mut QuotaLedger, tries: usize, now: Instant) -> usize {
@@ -50,99 +50,102 @@
     ShardMove { shard: shard(), from_epoch: 1, owner: host(2) }
 }
 
-// Hosts are replaced all day. If each new owner started empty, a team would be refused its burst
-// whenever one of its hosts is replaced.
+// Hosts are replaced all day. If each new owner started with empty buckets, a team would be refused
+// its burst whenever one of its hosts is replaced.
 #[test]
-fn the_next_owner_has_what_the_earlier_left() {
+fn the_next_owner_gets_the_tokens_that_are_left() {
     let now = Instant::now();
-    let (mut giver, mut taker) = ledgers(now);
-    let before = admitted(&mut giver, 5, now);
+    let (mut previous, mut next) = ledgers(now);
+    let before = admitted(&mut previous, 5, now);
 
-    let handover = giver.collect_handover(&next_owner(), now).unwrap();
-    let taken = taker.take_handover(&handover, limits_of, now);
-    let after = admitted(&mut taker, 20, now);
+    let handover = previous.collect_handover(&next_owner(), now).unwrap();
+    let taken = next.take_handover(&handover, limits_of, now);
+    let after = admitted(&mut next, 20, now);
 
     assert!(taken);
     assert_eq!((before, after), (5, 7));
 }
 
-// The message is repeated by the network, or comes late. Taken twice it would mint a burst.
+// The network repeats or delays the message. If it were applied twice, the team would get its burst
+// twice.
 #[test]
 fn a_repeated_handover_changes_nothing() {
     let now = Instant::now();
-    let (mut giver, mut taker) = ledgers(now);
-    let handover = giver.collect_handover(&next_owner(), now).unwrap();
+    let (mut previous, mut next) = ledgers(now);
+    let handover = previous.collect_handover(&next_owner(), now).unwrap();
 
-    let taken = taker.take_handover(&handover, limits_of, now);
-    let first = admitted(&mut taker, 20, now);
-    let again = taker.take_handover(&handover, limits_of, now);
-    let second = admitted(&mut taker, 20, now);
+    let taken = next.take_handover(&handover, limits_of, now);
+    let first = admitted(&mut next, 20, now);
+    let again = next.take_handover(&handover, limits_of, now);
+    let second = admitted(&mut next, 20, now);
 
     assert_eq!((taken, first, again, second), (true, 12, false, 0));
 }
 
-// The message is lost, and tokens that the earlier owner lent are still being spent.
+// The message is lost while tokens that the earlier owner lent are still being spent.
 #[test]
 fn without_a_handover_the_next_owner_starts_empty_once_loans_have_ended() {
     let now = Instant::now();
-    let (mut giver, mut taker) = ledgers(now);
+    let (mut previous, mut next) = ledgers(now);
     let loan = LoanRequest { team: "team".into(), shard: shard(), amount: 12 * TOKEN };
-    let lent = giver.lend(&loan, LIMITS, now);
+    let lent = previous.lend(&loan, LIMITS, now);
 
-    take_ownership(&mut taker, &next_owner(), now);
-    let while_lent = admitted(&mut taker, 20, now + lent.valid);
-    let after = admitted(&mut taker, 20, now + lent.valid + Duration::from_millis(500));
+    apply_move(&mut next, &next_owner(), now);
+    let while_lent = admitted(&mut next, 20, now + lent.valid);
+    let after = admitted(&mut next, 20, now + lent.valid + Duration::from_millis(500));
 
     assert_eq!(lent.amount, 12 * TOKEN);
     assert_eq!((while_lent, after), (0, 5));
 }
 
-// A host lends tokens and gives its shard away, the message is lost, and the next owner gives the
-// shard back at once. Knowing of an empty bucket only, the first would fill it while its loans are
-// still being spent: a trace that the model check found.
+// A host lends tokens and moves its shard to another host. The message is lost, and the next owner
+// moves the shard back at once. If the next owner handed over its empty bucket without those loans,
+// the first owner would refill it while they are still being spent. The model checker found this
+// trace.
 #[test]
-fn loans_are_waited_for_over_two_moves() {
+fn loans_are_waited_for_across_two_moves() {
     let now = Instant::now();
-    let (mut giver, mut taker) = ledgers(now);
+    let (mut previous, mut next) = ledgers(now);
     let loan = LoanRequest { team: "team".into(), shard: shard(), amount: 12 * TOKEN };
-    giver.lend(&loan, LIMITS, now);
-    take_ownership(&mut taker, &next_owner(), now);
+    previous.lend(&loan, LIMITS, now);
+    apply_move(&mut next, &next_owner(), now);
 
     let back = ShardMove { shard: shard(), from_epoch: 2, owner: host(1) };
-    let handover = taker.collect_handover(&back, now);
+    let handover = next.collect_handover(&back, now);
 
     assert_eq!(handover, None);
 }
 
-// The message comes late, after the next owner has spent what flowed in since. Both together are
-// more than one bucket would have held: a trace that the model check found.
+// The message arrives late, after the next owner has spent what accrued in the meantime. Both
+// together are more than one bucket would have held. The model checker found this trace.
 #[test]
 fn a_late_handover_adds_nothing_to_a_bucket_in_use() {
     let now = Instant::now();
-    let (mut giver, mut taker) = ledgers(now);
-    let handover = giver.collect_handover(&next_owner(), now).unwrap();
-    take_ownership(&mut taker, &next_owner(), now);
+    let (mut previous, mut next) = ledgers(now);
+    let handover = previous.collect_handover(&next_owner(), now).unwrap();
+    apply_move(&mut next, &next_owner(), now);
     let later = now + Duration::from_secs(1);
 
-    let spent = admitted(&mut taker, 2, later);
-    taker.take_handover(&handover, limits_of, later);
-    let more = admitted(&mut taker, 20, later);
+    let spent = admitted(&mut next, 2, later);
+    next.take_handover(&handover, limits_of, later);
+    let more = admitted(&mut next, 20, later);
 
     assert_eq!(spent, 2);
     assert!(spent + more <= 10, "{spent} and {more}");
 }
 
-// Loans of the earlier owner may be spent while the next one admits: both count.
+// Loans of the earlier owner may still be spent while the next owner admits requests; both count
+// towards the burst.
 #[test]
 fn loans_of_the_earlier_owner_count_for_the_next() {
     let now = Instant::now();
-    let (mut giver, mut taker) = ledgers(now);
+    let (mut previous, mut next) = ledgers(now);
     let loan = LoanRequest { team: "team".into(), shard: shard(), amount: 10 * TOKEN };
-    giver.lend(&loan, LIMITS, now);
+    previous.lend(&loan, LIMITS, now);
 
-    let handover = giver.collect_handover(&next_owner(), now).unwrap();
-    taker.take_handover(&handover, limits_of, now);
-    let soon = admitted(&mut taker, 20, now + Duration::from_millis(200));
+    let handover = previous.collect_handover(&next_owner(), now).unwrap();
+    next.take_handover(&handover, limits_of, now);
+    let soon = admitted(&mut next, 20, now + Duration::from_millis(200));
 
     assert_eq!(soon, 2);
 }
