--- a/crates/cuminramp-quota/src/shards.rs
+++ b/crates/cuminramp-quota/src/shards.rs
@@ -1,4 +1,4 @@
-//! Who owns which shard.
+//! Ownership of shards and its planning.
 
 use std::cmp::Reverse;
 
@@ -6,31 +6,33 @@
 use cuminramp_wire::rows::ShardRow;
 use tokio::time::Instant;
 
-/// What is known of one shard.
+/// Ownership of one shard as recorded on this host.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShardRecord {
-    /// The run that owns it.
+    /// The incarnation that owns the shard.
     pub owner: Option<HostId>,
-    /// The number of that ownership; 0: nobody ever owned it.
+    /// Number of the ownership, which increases by 1 with each change; 0 if the shard never had an
+    /// owner.
     pub epoch: u64,
-    /// When this host learnt of it.
+    /// When this host received this record.
     pub observed_at: Option<Instant>,
-    /// Whether this host has stopped spending it so as to give it away.
+    /// Whether this host has stopped spending the shard's tokens in order to move it to another
+    /// host.
     pub released: bool,
-    /// What the earlier owner passed on; `None` where nothing came.
+    /// State handed over by the earlier owner; `None` if no handover arrived.
     pub handover: Option<HandoverState>,
 }
 
-/// What buckets that nobody used have of an earlier owner.
+/// State of the buckets that no earlier owner has used.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HandoverState {
-    /// Since when they fill.
+    /// When they started to fill.
     pub filling_since: Instant,
-    /// Whether they are full.
+    /// Whether they were full from the start, as those of a shard's first owner are.
     pub is_full: bool,
 }
 
-/// A change of ownership to write, on the condition that the row still has `from_epoch`.
+/// A change of ownership to be written on condition that the row still has `from_epoch`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ShardMove {
     /// The shard.
@@ -42,7 +44,7 @@
 }
 
 impl ShardMove {
-    /// The row to write.
+    /// Returns the row to write.
     pub fn to_row(&self) -> ShardRow {
         ShardRow {
             shard: self.shard,
@@ -53,7 +55,7 @@
     }
 }
 
-/// The rows of all shards as this host knows them.
+/// The ownership rows of all shards as known to this host.
 #[derive(Clone, Debug)]
 pub struct ShardMap {
     me: HostId,
@@ -62,7 +64,7 @@
 }
 
 impl ShardMap {
-    /// A map of `shards` shards that nobody is known to own.
+    /// Returns a map of `shards` shards without known owners.
     ///
     /// ```
     /// use cuminramp_core::HostId;
@@ -74,46 +76,47 @@
         ShardMap { me, records: vec![ShardRecord::default(); shards as usize], digest: 0 }
     }
 
-    /// The run whose map it is.
+    /// Returns the incarnation that this map belongs to.
     pub fn me(&self) -> &HostId {
         &self.me
     }
 
-    /// The record of a shard; an empty one for a number out of range.
+    /// Returns the record of a shard; an empty one if the number is out of range.
     pub fn record(&self, shard: u32) -> ShardRecord {
         self.records.get(shard as usize).cloned().unwrap_or_default()
     }
 
-    /// The run that owns a shard.
+    /// Returns the incarnation that owns a shard.
     pub fn owner(&self, shard: u32) -> Option<&HostId> {
         self.records.get(shard as usize)?.owner.as_ref()
     }
 
-    /// Whether this run owns a shard and has not begun to give it away.
+    /// Returns whether this incarnation owns a shard and has not released it.
     pub fn is_mine(&self, shard: u32) -> bool {
         let record = self.records.get(shard as usize);
         record.is_some_and(|record| !record.released && record.owner.as_ref() == Some(&self.me))
     }
 
-    /// Whether every shard is known to have an owner.
+    /// Returns whether every shard has a known owner.
     pub fn is_complete(&self) -> bool {
         self.records.iter().all(|record| record.owner.is_some())
     }
 
-    /// How many shards this run owns.
+    /// Returns the number of shards that this incarnation owns and has not released.
     pub fn owned_count(&self) -> usize {
         (0..self.records.len() as u32).filter(|shard| self.is_mine(*shard)).count()
     }
 
-    /// Goes on as another run, which owns nothing.
+    /// Continues as another incarnation, which owns no shards.
     pub(crate) fn renew(&mut self, me: HostId) {
         self.me = me;
     }
 
-    /// Takes in a row, from the table or from a peer, which only passes on rows that it read or
-    /// wrote; says whether it was news. A row that is not newer came late and is ignored: that the
-    /// table still names this run as owner of a released shard does not show that the write which
-    /// gives it away won't land.
+    /// Applies a row that was read from the table or received from a peer, which forwards only rows
+    /// that it read or wrote. Returns whether the row was newer than the record.
+    ///
+    /// Other rows are late and are ignored. Even if the table still names this incarnation as the
+    /// owner of a released shard, the write that moves the shard may still take effect.
     pub fn observe(&mut self, row: &ShardRow, now: Instant) -> bool {
         let Some(record) = self.records.get_mut(row.shard as usize) else {
             return false;
@@ -134,7 +137,8 @@
         true
     }
 
-    /// Notes what the earlier owner of an own shard passed on; says whether it is the first time.
+    /// Records the state handed over by the earlier owner. Returns `false` and changes nothing if
+    /// this incarnation doesn't own the shard in `epoch` or already has a handover for it.
     pub(crate) fn record_handover(&mut self, shard: u32, epoch: u64, state: HandoverState) -> bool {
         if !self.is_mine(shard) {
             return false;
@@ -147,7 +151,7 @@
         is_first
     }
 
-    /// All known rows, for a peer.
+    /// Returns all known rows, to be sent to a peer.
     pub fn to_rows(&self) -> Vec<ShardRow> {
         let records = self.records.iter().enumerate();
         records
@@ -163,36 +167,38 @@
             .collect()
     }
 
-    /// A number that differs where two maps do. It rides on every probe, so it is kept and not worked
-    /// out anew: each row that changes replaces its own part.
+    /// Returns a hash that differs between maps with different rows. It is sent with every probe,
+    /// so it is updated incrementally: each row that changes replaces its own part.
     pub fn digest_hash(&self) -> u64 {
         self.digest
     }
 
-    /// Shards to take: those meant for this host that nobody owns or whose owner is surely dead, and
-    /// own ones that were released and, as far as this host knows, not given away. Claiming those
-    /// anew, under the next epoch, ends the write that would have given them away.
+    /// Returns moves that claim shards for this host: those whose desired owner is this host and
+    /// that have no owner or one that is certainly dead, and own ones that were released but, as
+    /// far as this host knows, not moved. Claiming the latter again, under the next epoch, makes
+    /// the pending write that would move them fail.
     ///
-    /// `hosts` are the live hosts that stay, this one among them. `is_surely_dead` must say `false`
-    /// on any doubt: suspicion never moves ownership, since a live owner would go on spending.
+    /// `hosts` are the live hosts that are not leaving, including this one. `is_surely_dead` must
+    /// return `false` in case of any doubt: a mere suspicion must never change ownership, since a
+    /// live owner would go on spending.
     pub fn plan_claims(
         &self,
         hosts: &[Host],
         is_surely_dead: impl Fn(&HostId) -> bool,
     ) -> Vec<ShardMove> {
         let zones = zones_of(hosts);
-        let free = self.numbered().filter(|(_, record)| match &record.owner {
+        let unowned = self.enumerate_records().filter(|(_, record)| match &record.owner {
             None => true,
             Some(owner) => *owner != self.me && is_surely_dead(owner),
         });
-        let meant = free.filter(|(shard, _)| {
+        let desired = unowned.filter(|(shard, _)| {
             desired_owner(*shard, hosts, &zones).is_some_and(|host| host.id == self.me)
         });
-        let stuck = self
-            .numbered()
+        let released = self
+            .enumerate_records()
             .filter(|(_, record)| record.released && record.owner.as_ref() == Some(&self.me));
-        let mine = meant.chain(stuck);
-        mine.map(|(shard, record)| ShardMove {
+        let own = desired.chain(released);
+        own.map(|(shard, record)| ShardMove {
             shard,
             from_epoch: record.epoch,
             owner: self.me.clone(),
@@ -200,38 +206,41 @@
         .collect()
     }
 
-    /// Releases up to `most` own shards that are meant for another host, and says where to.
+    /// Releases up to `max_moves` own shards whose desired owner is another host, and returns the
+    /// moves to write.
     ///
-    /// From this call on this run spends none of them, whatever becomes of the write.
-    pub fn release_moves(&mut self, hosts: &[Host], most: usize) -> Vec<ShardMove> {
-        let moves: Vec<ShardMove> = self.misplaced(hosts).take(most).collect();
+    /// From this call on, this incarnation spends none of their tokens, whether or not the write
+    /// succeeds.
+    pub fn release_moves(&mut self, hosts: &[Host], max_moves: usize) -> Vec<ShardMove> {
+        let moves: Vec<ShardMove> = self.misplaced(hosts).take(max_moves).collect();
         for change in &moves {
             self.records[change.shard as usize].released = true;
         }
         moves
     }
 
-    /// Whether own shards are meant for other hosts.
+    /// Returns whether another host is the desired owner of any own shard.
     pub fn has_moves(&self, hosts: &[Host]) -> bool {
         self.misplaced(hosts).next().is_some()
     }
 
+    /// Returns moves for own shards whose desired owner is another host.
     fn misplaced<'a>(&'a self, hosts: &'a [Host]) -> impl Iterator<Item = ShardMove> + 'a {
         let zones = zones_of(hosts);
-        let mine = self.numbered().filter(|(shard, _)| self.is_mine(*shard));
-        mine.filter_map(move |(shard, record)| {
+        let own = self.enumerate_records().filter(|(shard, _)| self.is_mine(*shard));
+        own.filter_map(move |(shard, record)| {
             let host = desired_owner(shard, hosts, &zones)?;
             let owner = host.id.clone();
             (owner != self.me).then_some(ShardMove { shard, from_epoch: record.epoch, owner })
         })
     }
 
-    fn numbered(&self) -> impl Iterator<Item = (u32, &ShardRecord)> {
+    fn enumerate_records(&self) -> impl Iterator<Item = (u32, &ShardRecord)> {
         self.records.iter().enumerate().map(|(shard, record)| (shard as u32, record))
     }
 }
 
-/// A shard's part of the digest; none while nobody owned it.
+/// Returns a shard's part of the digest; 0 while it has never had an owner.
 fn record_hash(shard: u32, epoch: u64) -> u64 {
     if epoch == 0 { 0 } else { hash_parts(&[&shard.to_string(), &epoch.to_string()]) }
 }
@@ -243,24 +252,26 @@
     zones
 }
 
-/// Shards of one zone that are placed together, each on a host of its own while there are enough.
-const GROUP_SHARDS: usize = 8;
+/// Number of shards of one zone that are placed as a group, each on a host of its own if the zone
+/// has enough hosts.
+const SHARDS_PER_GROUP: usize = 8;
 
-/// The host that a shard is meant for.
+/// Returns the host that should own a shard.
 ///
-/// Neighbouring shards lie in different zones, and those of one zone that are near each other on
-/// different hosts: a team's slices are neighbours, so the loss of a host or of a zone costs it as
-/// small a part as can be. A group of shards ranks the hosts of its zone by rendezvous hashing and
-/// takes them in turn, so a host that comes or goes moves only the shards ranked behind it.
+/// Consecutive shards are placed in different zones, and nearby shards of one zone on different
+/// hosts. A team's slices are in consecutive shards, so the loss of a host or a zone costs a team
+/// as small a part of its limit as possible. Each group of shards ranks the hosts of its zone by
+/// rendezvous hashing and assigns its shards to them in that order, so a host that joins or leaves
+/// moves only the shards ranked behind it.
 fn desired_owner<'h>(shard: u32, hosts: &'h [Host], zones: &[Name]) -> Option<&'h Host> {
-    let count = zones.len().max(1);
-    let zone = zones.get(shard as usize % count)?;
-    let place = shard as usize / count;
-    let key = format!("group-{}", place / GROUP_SHARDS);
+    let zone_count = zones.len().max(1);
+    let zone = zones.get(shard as usize % zone_count)?;
+    let index_in_zone = shard as usize / zone_count;
+    let key = format!("group-{}", index_in_zone / SHARDS_PER_GROUP);
     let mut ranked: Vec<&Host> = hosts.iter().filter(|host| host.zone == *zone).collect();
     ranked.sort_by_cached_key(|host| Reverse(rendezvous_score(&key, &host.id.address)));
-    let turn = place % GROUP_SHARDS % ranked.len().max(1);
-    ranked.get(turn).copied()
+    let rank = index_in_zone % SHARDS_PER_GROUP % ranked.len().max(1);
+    ranked.get(rank).copied()
 }
 
 #[cfg(test)]
--- a/crates/cuminramp-quota/src/shards/tests.rs
+++ b/crates/cuminramp-quota/src/shards/tests.rs
@@ -18,8 +18,8 @@
     (0..count).map(host).collect()
 }
 
-/// Claims everything that is free, host by host, as the table would let them.
-fn settle(maps: &mut [ShardMap], hosts: &[Host], dead: &[HostId]) {
+/// Makes each host in turn claim the shards that it may, with every write succeeding.
+fn claim_unowned(maps: &mut [ShardMap], hosts: &[Host], dead: &[HostId]) {
     let now = Instant::now();
     for index in 0..maps.len() {
         let moves = maps[index].plan_claims(hosts, |owner| dead.contains(owner));
@@ -31,10 +31,11 @@
     }
 }
 
-fn settled(hosts: &[Host]) -> Vec<ShardMap> {
+/// Returns one map for each host, with every shard claimed.
+fn claimed_maps(hosts: &[Host]) -> Vec<ShardMap> {
     let mut maps: Vec<ShardMap> =
         hosts.iter().map(|host| ShardMap::new(host.id.clone(), SHARDS)).collect();
-    settle(&mut maps, hosts, &[]);
+    claim_unowned(&mut maps, hosts, &[]);
     maps
 }
 
@@ -42,7 +43,7 @@
 fn every_shard_has_one_owner_and_neighbours_lie_in_other_zones() {
     let hosts = hosts(11);
 
-    let maps = settled(&hosts);
+    let maps = claimed_maps(&hosts);
 
     let zone = |shard: u32| {
         let owner = maps[0].owner(shard).unwrap();
@@ -53,27 +54,27 @@
     assert!((1..SHARDS).all(|shard| zone(shard) != zone(shard - 1)));
 }
 
-// A host is suspected since a link is cut, yet goes on serving. If suspicion moved its shards,
+// A host is suspected because a link is cut, yet it goes on serving. If suspicion moved its shards,
 // two hosts would spend the same tokens and teams would get more than their rate.
 #[test]
 fn a_suspect_keeps_its_shards() {
     let hosts = hosts(11);
-    let maps = settled(&hosts);
+    let maps = claimed_maps(&hosts);
 
     let claims = maps[0].plan_claims(&hosts[..10], |_| false);
 
     assert!(claims.is_empty());
 }
 
-// A host dies. Shards of hosts that live may be given to others later, but nobody may claim them.
+// A host dies. Shards of live hosts may be moved to others later, but no other host may claim them.
 #[test]
-fn a_dead_host_is_replaced_and_nothing_of_the_living_is_claimed() {
+fn a_dead_host_is_replaced_and_no_shard_of_a_live_host_is_claimed() {
     let hosts = hosts(11);
-    let mut maps = settled(&hosts);
+    let mut maps = claimed_maps(&hosts);
     let before = maps[0].clone();
     let dead = hosts[10].id.clone();
 
-    settle(&mut maps[..10], &hosts[..10], std::slice::from_ref(&dead));
+    claim_unowned(&mut maps[..10], &hosts[..10], std::slice::from_ref(&dead));
 
     for shard in 0..SHARDS {
         let owner = maps[0].owner(shard).unwrap();
@@ -84,12 +85,13 @@
     }
 }
 
-// Slices of one team on one host would all be lost with it.
+// If several slices of a team were on one host, the loss of that host would cost the team all of
+// them.
 #[test]
 fn nearby_shards_lie_on_different_hosts() {
     let hosts = hosts(11);
 
-    let maps = settled(&hosts);
+    let maps = claimed_maps(&hosts);
 
     for group in 0..SHARDS / 24 {
         let owners: Vec<_> =
@@ -101,41 +103,42 @@
     }
 }
 
-// The write that gives a shard away loses its answer, and the table still shows the giver. If it
-// went on spending, the write might land all the same and the next owner would spend too; if it
-// never looked again, nobody might. A trace that the model check found.
+// The response to the write that moves a shard away is lost, and the table still shows the previous
+// owner. If that owner went on spending, the write might take effect all the same and the next
+// owner would spend too; if it never checked again, nobody might spend. The model checker found
+// this trace.
 #[test]
-fn a_released_shard_is_not_spent_until_it_is_claimed_anew() {
+fn a_released_shard_is_not_spent_until_it_is_claimed_again() {
     let hosts = hosts(6);
-    let mut map = settled(&hosts[..5]).remove(0);
+    let mut map = claimed_maps(&hosts[..5]).remove(0);
     let now = Instant::now();
-    let given = map.release_moves(&hosts[1..], usize::MAX)[0].clone();
-    let unchanged = ShardMove { owner: hosts[0].id.clone(), ..given.clone() };
-    let row = ShardRow { epoch: given.from_epoch, ..unchanged.to_row() };
+    let released = map.release_moves(&hosts[1..], usize::MAX)[0].clone();
+    let unchanged = ShardMove { owner: hosts[0].id.clone(), ..released.clone() };
+    let row = ShardRow { epoch: released.from_epoch, ..unchanged.to_row() };
 
     map.observe(&row, now);
-    let after_reading = map.is_mine(given.shard);
+    let owned_after_reading = map.is_mine(released.shard);
     let claims = map.plan_claims(&hosts, |_| false);
     map.observe(&unchanged.to_row(), now);
 
-    assert!(!after_reading);
+    assert!(!owned_after_reading);
     assert!(claims.contains(&unchanged));
-    assert!(map.is_mine(given.shard));
+    assert!(map.is_mine(released.shard));
 }
 
-// A peer passes on a row that it read long ago. A host that took it back would spend a shard
-// that another one owns by now.
+// A peer forwards a row that it read long ago. If a host applied it, it would spend a shard that
+// another host owns by now.
 #[test]
 fn a_late_row_changes_nothing() {
     let hosts = hosts(5);
-    let mut map = settled(&hosts).remove(0);
+    let mut map = claimed_maps(&hosts).remove(0);
     let now = Instant::now();
     let newer = ShardRow { shard: 1, owner: "10.0.0.9:1".into(), owner_incarnation: 4, epoch: 9 };
     map.observe(&newer, now);
 
     let late = ShardRow { epoch: 8, owner: hosts[0].id.address.to_string(), ..newer };
-    let news = map.observe(&late, now);
+    let is_newer = map.observe(&late, now);
 
-    assert!(!news);
+    assert!(!is_newer);
     assert!(!map.is_mine(1));
 }
