--- a/crates/cuminramp-quota/src/shards.rs
+++ b/crates/cuminramp-quota/src/shards.rs
@@ -175,7 +175,7 @@
 
     /// Returns moves that claim shards for this host: those whose desired owner is this host and
     /// that have no owner or one that is certainly dead, and own ones that were released but, as
-    /// far as this host knows, not moved. Claiming the latter again, under the next epoch, makes
+    /// far as this map shows, not moved. Claiming the latter again, under the next epoch, makes
     /// the pending write that would move them fail.
     ///
     /// `hosts` are the live hosts that are not leaving, including this one. `is_surely_dead` must
