--- a/crates/cuminramp-quota/src/handover.rs
+++ b/crates/cuminramp-quota/src/handover.rs
@@ -1,4 +1,4 @@
-//! Passes a shard's tokens on to its next owner.
+//! Handover of a shard's tokens to its next owner.
 
 use std::time::Duration;
 
@@ -9,32 +9,35 @@
 use tokio::time::Instant;
 
 use crate::ledger::slice_number;
-use crate::{Inheritance, QuotaLedger, ShardMove, TeamLimits};
+use crate::{HandoverState, QuotaLedger, ShardMove, TeamLimits};
 
 impl QuotaLedger {
-    /// What the next owner of a shard gets, to be sent once the row says that it is the owner.
+    /// Returns the handover for the next owner of a shard, to be sent once the row names that
+    /// owner.
     ///
-    /// This run has released the shard and spends none of it, so what is in the buckets now belongs
-    /// to whom it is sent to, and to nobody if that is lost.
+    /// This incarnation has released the shard and spends none of its tokens, so what is in the
+    /// buckets now belongs to the next owner, and to nobody if the message is lost.
     ///
-    /// Nothing is passed on while tokens that an owner before this one lent may still be spent and this
-    /// run does not know of them: the next owner would not wait for them either.
-    pub fn collect_handover(&mut self, change: &ShardMove, now: Instant) -> Option<Handover> {
-        let record = self.shards.record(change.shard);
-        let waited = record.since.is_some_and(|at| at + self.policy().borrow_valid <= now);
-        if record.epoch > 1 && record.inherited.is_none() && !waited {
+    /// Returns `None` while tokens lent by an owner before this one may still be spent and this
+    /// incarnation has no record of them: the next owner would not wait for their expiry either.
+    pub fn collect_handover(&mut self, shard_move: &ShardMove, now: Instant) -> Option<Handover> {
+        let record = self.shards.record(shard_move.shard);
+        let loans_ended =
+            record.observed_at.is_some_and(|at| at + self.policy().borrow_valid <= now);
+        if record.epoch > 1 && record.handover.is_none() && !loans_ended {
             return None;
         }
-        let since = record.inherited.map(|inherited| inherited.since).or(record.since);
-        let owned = since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-        let first_owner = match record.inherited {
-            Some(inherited) => inherited.is_full,
+        let filling_since = record.handover.map(|state| state.filling_since).or(record.observed_at);
+        let filling =
+            filling_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
+        let first_owner = match record.handover {
+            Some(state) => state.is_full,
             None => record.epoch == 1,
         };
         let policy = self.policy().clone();
         let mut buckets = Vec::new();
         for (team, quota) in self.teams.iter_mut() {
-            let index = slice_number(team, change.shard, &policy);
+            let index = slice_number(team, shard_move.shard, &policy);
             let Some(slice) = quota.buckets.get_mut(&index) else { continue };
             if slice.epoch == record.epoch {
                 let level = slice.bucket.level(now);
@@ -43,17 +46,18 @@
             }
         }
         Some(Handover {
-            row: encode_row(&change.to_row()),
-            owned_ms: owned.as_millis() as u64,
+            row: encode_row(&shard_move.to_row()),
+            owned_ms: filling.as_millis() as u64,
             first_owner,
             buckets,
         })
     }
 
-    /// Takes what the earlier owner of a shard passed on; says whether it was taken. A second copy,
-    /// one of another epoch or one for a shard that this run does not own changes nothing.
+    /// Applies the handover from the earlier owner of a shard and returns whether it was applied. A
+    /// repeated handover, one of another epoch, or one for a shard that this incarnation does not
+    /// own changes nothing.
     ///
-    /// `limits_of` gives a team's limits, `None` for one that is not declared any more.
+    /// `limits_of` returns a team's limits, `None` for a team that is no longer declared.
     pub fn take_handover(
         &mut self,
         handover: &Handover,
@@ -62,23 +66,23 @@
     ) -> bool {
         let Ok(row) = decode_row::<ShardRow>(&handover.row) else { return false };
         self.shards.observe(&row, now);
-        let owned = Duration::from_millis(handover.owned_ms);
-        let since = now.checked_sub(owned).unwrap_or(now);
-        let inherited = Inheritance { since, is_full: handover.first_owner };
-        if !self.shards.inherit(row.shard, row.epoch, inherited) {
+        let filling = Duration::from_millis(handover.owned_ms);
+        let filling_since = now.checked_sub(filling).unwrap_or(now);
+        let state = HandoverState { filling_since, is_full: handover.first_owner };
+        if !self.shards.record_handover(row.shard, row.epoch, state) {
             return false;
         }
-        self.drop_started(row.shard);
-        for given in &handover.buckets {
-            let Some((team, limits)) = limits_of(&given.team) else { continue };
-            self.take_bucket(row.shard, &team, limits, given, now);
+        self.discard_unused_buckets(row.shard);
+        for received in &handover.buckets {
+            let Some((team, limits)) = limits_of(&received.team) else { continue };
+            self.accept_bucket(row.shard, &team, limits, received, now);
         }
         true
     }
 
-    /// Forgets buckets that were begun before the handover came and not used: what they had since
-    /// then is less than what comes.
-    fn drop_started(&mut self, shard: u32) {
+    /// Drops the buckets of a shard that were created before the handover arrived and have not been
+    /// used. The tokens that they accrued since then are fewer than those handed over.
+    fn discard_unused_buckets(&mut self, shard: u32) {
         let policy = self.policy().clone();
         for (team, quota) in self.teams.iter_mut() {
             let index = slice_number(team, shard, &policy);
@@ -88,12 +92,14 @@
         }
     }
 
-    fn take_bucket(
+    /// Replaces the tokens of a bucket by those that the earlier owner handed over, unless the
+    /// bucket has been used.
+    fn accept_bucket(
         &mut self,
         shard: u32,
         team: &Name,
         limits: TeamLimits,
-        given: &HandoverBucket,
+        received: &HandoverBucket,
         now: Instant,
     ) {
         self.prepare(team, limits, now);
@@ -101,14 +107,14 @@
         let index = slice_number(team, shard, &policy);
         let Some(quota) = self.teams.get_mut(team) else { return };
         let Some(slice) = quota.buckets.get_mut(&index) else { return };
-        // What was spent of a bucket since it began was not in the earlier one: taking that too would
-        // be too much.
+        // Tokens already spent from this bucket did not come from the earlier owner's bucket.
+        // Adding the tokens of that one as well could exceed what one bucket would have held.
         if slice.used {
             return;
         }
-        let begun = slice.bucket.level(now);
-        slice.bucket.take(begun, now);
-        slice.bucket.take_over(given.level, given.on_loan, policy.borrow_valid, now);
+        let accrued = slice.bucket.level(now);
+        slice.bucket.take(accrued, now);
+        slice.bucket.add_handover(received.level, received.on_loan, policy.borrow_valid, now);
     }
 }
 
