--- a/crates/cuminramp-targets/src/choice.rs
+++ b/crates/cuminramp-targets/src/choice.rs
@@ -1,35 +1,36 @@
-//! Which target gets a request.
+//! Chooses the target for a request and ejects failing targets.
 
 use std::time::Duration;
 
 use cuminramp_core::{Name, RandomSource, SortedMap, rendezvous_score};
 use tokio::time::Instant;
 
-/// Weight of the newest time in the average.
+/// Weight of the newest latency in the moving average of a target.
 const LATENCY_GAIN: f64 = 0.2;
-/// What is assumed of a target that has not answered yet, in seconds.
-const FIRST_LATENCY: f64 = 0.05;
-/// A preferred target may be so much worse than the average before it is passed over.
-const AFFINITY_BOUND: f64 = 1.25;
-/// Of the slots of a target that is new or was set aside, this part is used at first.
-const WARM_START: f64 = 0.1;
-/// After this time all of its slots are used.
-const WARM_TIME: Duration = Duration::from_secs(10);
-/// The longest time a target is set aside, as a multiple of the first.
-const MOST_EJECTIONS: u32 = 3;
-/// What a report says loses half its weight in this time.
+/// Latency assumed for a target that has not answered yet, in seconds.
+const INITIAL_LATENCY: f64 = 0.05;
+/// Maximum expected wait of the target that a prefix prefers, relative to the mean of all candidates.
+/// Above it, the prefix is ignored.
+const MAX_PREFIX_WAIT_RATIO: f64 = 1.25;
+/// Share of its slots that a new or reinstated target may use at first.
+const SLOW_START_SHARE: f64 = 0.1;
+/// Time after which a new or reinstated target may use all of its slots.
+const SLOW_START_WINDOW: Duration = Duration::from_secs(10);
+/// Maximum number of times that the duration of an ejection doubles: to 8 times the first.
+const MAX_EJECTION_DOUBLINGS: u32 = 3;
+/// Time after which the weight of a load report has halved.
 const REPORT_HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// How targets are chosen and set aside.
+/// Limits for choosing and ejecting targets.
 #[derive(Clone, Debug)]
 pub struct TargetPolicy {
-    /// Failures in a row after which a target is set aside.
+    /// Number of consecutive failures after which a target is ejected.
     pub eject_after: u32,
-    /// How long at first.
+    /// Duration of the first ejection. Each further one lasts twice as long, up to 8 times the first.
     pub eject: Duration,
-    /// The largest share of a pool that may be set aside.
+    /// Maximum share of a pool's targets that are kept out at once by ejection.
     pub eject_share: f64,
-    /// Requests on a target as a multiple of its slots.
+    /// Maximum number of requests on a target, as a multiple of its slots.
     pub slot_factor: f64,
 }
 
@@ -44,70 +45,70 @@
     }
 }
 
-/// A target as the pool's row has it.
+/// A target as defined in its pool's row.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetSpec {
     /// Its name.
     pub name: Name,
-    /// How many requests it works on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is to get no new work.
+    /// Whether it is being removed and gets no new work.
     pub leaving: bool,
 }
 
-/// Load as a target reported it.
+/// The load that a target reported.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadSnapshot {
-    /// Requests running or waiting there, of all hosts.
+    /// Number of requests running or waiting on the target, from all hosts.
     pub requests: u32,
-    /// When it was true.
+    /// Time at which the target had this load.
     pub at: Instant,
 }
 
-/// Whom the work is for.
+/// Class of the work that a request belongs to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WorkKind {
-    /// A caller waits.
+    /// A caller waits for the answer.
     Online,
-    /// Nobody waits.
+    /// Belongs to a batch job; no caller waits for the answer.
     Batch,
 }
 
 /// How an attempt on a target ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptEnd {
-    /// It answered; the time to its first byte.
+    /// The target answered; holds the time to the first byte.
     Answered(Duration),
-    /// It refused, failed or broke off.
+    /// The target refused the request, failed, or closed the connection.
     Failed,
-    /// It said nothing in time: set aside at once.
+    /// The target sent nothing before the timeout. It is ejected at once.
     Silent,
-    /// This side gave the attempt up; nothing is learnt.
+    /// This host cancelled the attempt, which shows nothing about the target.
     Abandoned,
 }
 
-/// What a target is wanted for.
+/// Properties of a request that affect the choice of its target.
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceQuery<'a> {
-    /// A hash of the prompt's beginning, where the target caches prefixes.
+    /// Hash of the start of the prompt, if the targets cache prefixes.
     pub prefix: Option<u64>,
-    /// Targets that already failed this request.
+    /// Targets on which this request already failed.
     pub tried: &'a [Name],
 }
 
 /// Why a target was chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ChoiceReason {
-    /// It probably has the prefix and is not much busier than others.
+    /// The target probably has the prefix cached and is not much busier than the others.
     Prefix,
-    /// The better of two drawn at random.
+    /// The target has the shorter expected wait of two drawn at random.
     Wait,
-    /// All others are set aside, full or tried.
+    /// The target is the only candidate: all others are leaving, ejected, full or already tried.
     Last,
 }
 
 impl ChoiceReason {
-    /// The word in a log line.
+    /// Returns the value used in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             ChoiceReason::Prefix => "prefix",
@@ -120,25 +121,33 @@
 /// A chosen target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetChoice {
-    /// Its place in the list that was given.
+    /// Index of the target in the list passed to [`TargetTable::choose`].
     pub index: usize,
-    /// Why.
+    /// Reason for the choice.
     pub reason: ChoiceReason,
 }
 
-/// What this host knows of one target.
+/// State that this host keeps for one target.
 #[derive(Debug)]
 struct TargetRecord {
+    /// Online requests that this host has in flight on the target.
     online: u32,
+    /// Batch requests that this host has in flight on the target.
     batch: u32,
-    /// The last report, and how many of the requests in it were this host's own.
+    /// The newest report, and how many requests this host had in flight when it arrived.
     report: Option<(LoadSnapshot, u32)>,
+    /// Moving average of the time to the first byte, in seconds.
     latency: f64,
+    /// Consecutive failures.
     failures: u32,
+    /// Number of ejections since the target last left probation.
     ejections: u32,
+    /// End of the current or last ejection; `None` once the target has answered after it.
     ejected_until: Option<Instant>,
-    warm_since: Instant,
-    known_good: bool,
+    /// Time at which the slow start began.
+    slow_start_at: Instant,
+    /// Whether the target was in the first generation that this host applied.
+    in_first_generation: bool,
 }
 
 impl TargetRecord {
@@ -147,12 +156,12 @@
             online: 0,
             batch: 0,
             report: None,
-            latency: FIRST_LATENCY,
+            latency: INITIAL_LATENCY,
             failures: 0,
             ejections: 0,
             ejected_until: None,
-            warm_since: now,
-            known_good: false,
+            slow_start_at: now,
+            in_first_generation: false,
         }
     }
 
@@ -160,8 +169,8 @@
         self.online + self.batch
     }
 
-    /// Requests there now: own ones, which are known, and others', which the last report tells less
-    /// and less of as it ages.
+    /// Estimates the number of requests on the target now. This host's own requests count in full;
+    /// those of other hosts come from the last report, whose weight decays with its age.
     fn estimate(&self, now: Instant) -> f64 {
         let others = self.report.map_or(0.0, |(report, own)| {
             let age = now.saturating_duration_since(report.at).as_secs_f64();
@@ -171,12 +180,15 @@
         f64::from(self.own()) + others
     }
 
-    fn room(&self, spec: &TargetSpec, policy: &TargetPolicy, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.warm_since).as_secs_f64();
-        let warmth = (WARM_START + age / WARM_TIME.as_secs_f64()).min(1.0);
-        (f64::from(spec.slots) * policy.slot_factor * warmth).max(1.0) - self.estimate(now)
+    /// Returns how many more requests the target may get; negative if it has too many.
+    /// The limit is at least one request, even at the beginning of a slow start.
+    fn free_slots(&self, spec: &TargetSpec, policy: &TargetPolicy, now: Instant) -> f64 {
+        let age = now.saturating_duration_since(self.slow_start_at).as_secs_f64();
+        let share = (SLOW_START_SHARE + age / SLOW_START_WINDOW.as_secs_f64()).min(1.0);
+        (f64::from(spec.slots) * policy.slot_factor * share).max(1.0) - self.estimate(now)
     }
 
+    /// Returns the expected time to the first byte of another request, in seconds.
     fn expected_wait(&self, spec: &TargetSpec, now: Instant) -> f64 {
         self.latency * (1.0 + self.estimate(now) / f64::from(spec.slots.max(1)))
     }
@@ -185,13 +197,14 @@
         self.ejected_until.is_some_and(|until| until > now)
     }
 
-    /// Whether it comes back from being set aside and has not proved itself: one request at a time.
-    fn is_on_trial(&self) -> bool {
+    /// Whether the target has been ejected and has not answered since. It then gets one request at a
+    /// time, and a single failure ejects it again.
+    fn is_on_probation(&self) -> bool {
         self.ejected_until.is_some()
     }
 }
 
-/// What this host knows of all targets.
+/// Load, latency and ejection state of all targets, as seen by this host.
 #[derive(Debug)]
 pub struct TargetTable {
     policy: TargetPolicy,
@@ -199,7 +212,7 @@
 }
 
 impl TargetTable {
-    /// A table that knows no target yet.
+    /// Creates a table without targets.
     ///
     /// ```
     /// use cuminramp_targets::{TargetPolicy, TargetTable};
@@ -210,16 +223,16 @@
         TargetTable { policy, records: SortedMap::new() }
     }
 
-    /// Takes in the targets of the generation in force. Targets known at the first call are taken
-    /// for warm; those that come later are given work little by little.
+    /// Applies the targets of the current generation. Targets of the first call count as warm; those
+    /// added later get a slow start. A removed target is kept while this host has requests on it.
     pub fn set_targets(&mut self, specs: &[TargetSpec], now: Instant) {
         let first = self.records.is_empty();
         for spec in specs {
             let record =
                 self.records.get_or_insert_with(spec.name.clone(), || TargetRecord::new(now));
             if first {
-                record.warm_since = now.checked_sub(WARM_TIME).unwrap_or(now);
-                record.known_good = true;
+                record.slow_start_at = now.checked_sub(SLOW_START_WINDOW).unwrap_or(now);
+                record.in_first_generation = true;
             }
         }
         let mut names: Vec<&Name> = specs.iter().map(|spec| &spec.name).collect();
@@ -227,37 +240,37 @@
         self.records.retain(|name, record| names.binary_search(&name).is_ok() || record.own() > 0);
     }
 
-    /// Own requests in flight: online and batch.
+    /// Returns how many online and batch requests this host has in flight on a target.
     pub fn in_flight(&self, target: &str) -> (u32, u32) {
         self.records.get(target).map_or((0, 0), |record| (record.online, record.batch))
     }
 
-    /// Requests on a target as far as this host can tell.
+    /// Returns the estimated number of requests on a target, from all hosts.
     pub fn estimate(&self, target: &str, now: Instant) -> f64 {
         self.records.get(target).map_or(0.0, |record| record.estimate(now))
     }
 
-    /// The last report of a target.
+    /// Returns the newest load report of a target.
     pub fn report(&self, target: &str) -> Option<LoadSnapshot> {
         Some(self.records.get(target)?.report?.0)
     }
 
-    /// Whether a target is set aside.
+    /// Whether a target is ejected.
     pub fn is_ejected(&self, target: &str, now: Instant) -> bool {
         self.records.get(target).is_some_and(|record| record.is_ejected(now))
     }
 
-    /// A target's word on its load. A report that is older than the one at hand is dropped.
+    /// Records a load report of a target, unless it is older than the recorded one.
     pub fn on_report(&mut self, target: &str, report: LoadSnapshot) {
         let Some(record) = self.records.get_mut(target) else {
             return;
         };
-        if record.report.is_none_or(|(known, _)| known.at < report.at) {
+        if record.report.is_none_or(|(last, _)| last.at < report.at) {
             record.report = Some((report, record.own()));
         }
     }
 
-    /// An attempt begins.
+    /// Records the start of an attempt.
     pub fn on_start(&mut self, target: &str, kind: WorkKind, now: Instant) {
         let record = self.records.get_or_insert_with(target.into(), || TargetRecord::new(now));
         match kind {
@@ -266,8 +279,8 @@
         }
     }
 
-    /// The head of an answer came, or the attempt failed. Returns whether the target is set aside
-    /// by this.
+    /// Records that the head of an answer arrived or that the attempt failed. Returns whether this
+    /// ejects the target.
     pub fn on_outcome(&mut self, target: &str, end: AttemptEnd, now: Instant) -> bool {
         let policy = self.policy.clone();
         let Some(record) = self.records.get_mut(target) else {
@@ -278,17 +291,17 @@
                 let newest = latency.as_secs_f64();
                 record.latency += (newest - record.latency) * LATENCY_GAIN;
                 record.failures = 0;
-                if record.is_on_trial() {
+                if record.is_on_probation() {
                     record.ejected_until = None;
                     record.ejections = 0;
-                    record.warm_since = now;
+                    record.slow_start_at = now;
                 }
                 false
             }
             AttemptEnd::Failed => {
                 record.failures += 1;
-                let trial_failed = record.is_on_trial();
-                let eject = trial_failed || record.failures >= policy.eject_after;
+                let on_probation = record.is_on_probation();
+                let eject = on_probation || record.failures >= policy.eject_after;
                 eject && eject_target(record, &policy, now)
             }
             AttemptEnd::Silent => eject_target(record, &policy, now),
@@ -296,7 +309,7 @@
         }
     }
 
-    /// An attempt is over and its place on the target is free.
+    /// Records the end of an attempt, which frees its slot on the target.
     pub fn on_finish(&mut self, target: &str, kind: WorkKind) {
         let Some(record) = self.records.get_mut(target) else {
             return;
@@ -307,7 +320,7 @@
         }
     }
 
-    /// Chooses a target with room, or none: then the request waits.
+    /// Chooses a target with a free slot. Returns `None` if there is none; the request then waits.
     pub fn choose(
         &self,
         specs: &[TargetSpec],
@@ -315,17 +328,20 @@
         random: &mut dyn RandomSource,
         now: Instant,
     ) -> Option<TargetChoice> {
-        let usable = self.usable(specs, query.tried, now);
-        let roomy: Vec<usize> =
-            usable.iter().copied().filter(|index| self.has_room(&specs[*index], now)).collect();
-        match roomy.as_slice() {
+        let eligible = self.eligible(specs, query.tried, now);
+        let candidates: Vec<usize> = eligible
+            .iter()
+            .copied()
+            .filter(|index| self.has_free_slot(&specs[*index], now))
+            .collect();
+        match candidates.as_slice() {
             [] => None,
             [index] => Some(TargetChoice { index: *index, reason: ChoiceReason::Last }),
-            _ => Some(self.choose_among(specs, &roomy, query.prefix, random, now)),
+            _ => Some(self.choose_among(specs, &candidates, query.prefix, random, now)),
         }
     }
 
-    /// Whether any target could ever take the request: one that is not leaving.
+    /// Whether any target can run requests at all, that is, is not leaving.
     pub fn has_targets(&self, specs: &[TargetSpec]) -> bool {
         specs.iter().any(|spec| !spec.leaving)
     }
@@ -334,74 +350,81 @@
         self.records.get(&*spec.name)
     }
 
-    fn has_room(&self, spec: &TargetSpec, now: Instant) -> bool {
+    fn has_free_slot(&self, spec: &TargetSpec, now: Instant) -> bool {
         self.record_of(spec).is_none_or(|record| {
-            let free = record.room(spec, &self.policy, now) > 0.0;
-            free && !(record.is_on_trial() && record.own() > 0)
+            let free = record.free_slots(spec, &self.policy, now) > 0.0;
+            free && !(record.is_on_probation() && record.own() > 0)
         })
     }
 
-    /// Targets that may get work: none that leaves; none set aside, unless too large a share is;
-    /// none that failed this request before, unless all others did too.
-    fn usable(&self, specs: &[TargetSpec], tried: &[Name], now: Instant) -> Vec<usize> {
-        let staying: Vec<usize> = (0..specs.len()).filter(|index| !specs[*index].leaving).collect();
-        let mut ejected: Vec<(Instant, usize)> = staying
+    /// Returns the targets that may get the request: not leaving, not ejected (up to the maximum share
+    /// of ejected targets), and not tried before, unless all others were tried too.
+    fn eligible(&self, specs: &[TargetSpec], tried: &[Name], now: Instant) -> Vec<usize> {
+        let not_leaving: Vec<usize> =
+            (0..specs.len()).filter(|index| !specs[*index].leaving).collect();
+        let mut ejected: Vec<(Instant, usize)> = not_leaving
             .iter()
             .filter_map(|index| {
                 let record = self.record_of(&specs[*index])?;
                 record.is_ejected(now).then_some((record.ejected_until?, *index))
             })
             .collect();
-        // Those that come back last stay out. Were all set aside at once, as when something between
-        // hosts and targets fails for a moment, callers would be refused while targets are idle.
+        // Limits the ejected targets to the maximum share and keeps out the ones whose ejection ends
+        // last. A brief network failure between hosts and targets can eject all targets at once;
+        // without the limit, callers would be refused while the targets are idle.
         ejected.sort_by_key(|(until, _)| std::cmp::Reverse(*until));
-        ejected.truncate((staying.len() as f64 * self.policy.eject_share) as usize);
-        let kept = staying.iter().filter(|index| !ejected.iter().any(|(_, out)| out == *index));
-        let kept: Vec<usize> = kept.copied().collect();
-        let fresh: Vec<usize> =
-            kept.iter().copied().filter(|index| !tried.contains(&specs[*index].name)).collect();
-        if fresh.is_empty() { kept } else { fresh }
+        ejected.truncate((not_leaving.len() as f64 * self.policy.eject_share) as usize);
+        let not_ejected =
+            not_leaving.iter().filter(|index| !ejected.iter().any(|(_, out)| out == *index));
+        let allowed: Vec<usize> = not_ejected.copied().collect();
+        let untried: Vec<usize> =
+            allowed.iter().copied().filter(|index| !tried.contains(&specs[*index].name)).collect();
+        if untried.is_empty() { allowed } else { untried }
     }
 
+    /// Chooses among at least two candidates: the one that the prefix prefers, unless it is much busier
+    /// than the others, else the better of two drawn at random.
     fn choose_among(
         &self,
         specs: &[TargetSpec],
-        roomy: &[usize],
+        candidates: &[usize],
         prefix: Option<u64>,
         random: &mut dyn RandomSource,
         now: Instant,
     ) -> TargetChoice {
         let wait = |index: usize| {
             let spec = &specs[index];
-            self.record_of(spec).map_or(FIRST_LATENCY, |record| record.expected_wait(spec, now))
+            self.record_of(spec).map_or(INITIAL_LATENCY, |record| record.expected_wait(spec, now))
         };
         if let Some(prefix) = prefix {
             let key = prefix.to_string();
-            let preferred = roomy
+            let preferred = candidates
                 .iter()
                 .copied()
                 .max_by_key(|index| rendezvous_score(&key, &specs[*index].name))
-                .unwrap_or(roomy[0]);
-            let mean = roomy.iter().map(|index| wait(*index)).sum::<f64>() / roomy.len() as f64;
-            if wait(preferred) <= mean * AFFINITY_BOUND {
+                .unwrap_or(candidates[0]);
+            let mean =
+                candidates.iter().map(|index| wait(*index)).sum::<f64>() / candidates.len() as f64;
+            if wait(preferred) <= mean * MAX_PREFIX_WAIT_RATIO {
                 return TargetChoice { index: preferred, reason: ChoiceReason::Prefix };
             }
         }
-        let first = random.below(roomy.len());
-        let second = (first + 1 + random.below(roomy.len() - 1)) % roomy.len();
-        let (first, second) = (roomy[first], roomy[second]);
+        let first = random.below(candidates.len());
+        let second = (first + 1 + random.below(candidates.len() - 1)) % candidates.len();
+        let (first, second) = (candidates[first], candidates[second]);
         let index = if wait(second) < wait(first) { second } else { first };
         TargetChoice { index, reason: ChoiceReason::Wait }
     }
 }
 
-/// Sets a target aside, for twice as long as the last time; says whether it was in before.
+/// Ejects a target, for twice as long as the last time up to the maximum. Returns `false` if it was
+/// ejected already.
 fn eject_target(record: &mut TargetRecord, policy: &TargetPolicy, now: Instant) -> bool {
     if record.is_ejected(now) {
         return false;
     }
-    let wait = policy.eject * 2u32.pow(record.ejections.min(MOST_EJECTIONS));
-    record.ejected_until = Some(now + wait);
+    let duration = policy.eject * 2u32.pow(record.ejections.min(MAX_EJECTION_DOUBLINGS));
+    record.ejected_until = Some(now + duration);
     record.ejections += 1;
     record.failures = 0;
     true
--- a/crates/cuminramp-targets/src/choice/tests.rs
+++ b/crates/cuminramp-targets/src/choice/tests.rs
@@ -29,31 +29,32 @@
     counts
 }
 
-// A target goes silent: requests sent to it wait until they time out, one after another.
+// A target stops answering. Without ejection, one request after another is sent to it and waits until
+// it times out.
 #[test]
-fn a_silent_target_is_set_aside_at_once_and_tried_again_with_one_request() {
+fn a_silent_target_is_ejected_at_once_and_then_gets_one_request_at_a_time() {
     let now = Instant::now();
     let specs = specs(4);
     let mut table = table(&specs, now);
     table.on_start("e0", WorkKind::Online, now);
     table.on_finish("e0", WorkKind::Online);
 
-    let news = table.on_outcome("e0", AttemptEnd::Silent, now);
-    let aside = counts(&table, &specs, now)[0];
+    let newly_ejected = table.on_outcome("e0", AttemptEnd::Silent, now);
+    let during = counts(&table, &specs, now)[0];
     let later = now + Duration::from_millis(1_001);
-    let back = counts(&table, &specs, later)[0];
+    let after = counts(&table, &specs, later)[0];
     table.on_start("e0", WorkKind::Online, later);
     let second = counts(&table, &specs, later)[0];
 
-    assert!(news);
-    assert_eq!((aside, second), (0, 0));
-    assert!(back > 0);
+    assert!(newly_ejected);
+    assert_eq!((during, second), (0, 0));
+    assert!(after > 0);
 }
 
-// Something between this host and all targets fails for a moment. If all were set aside, callers
+// A brief network failure makes all targets unreachable from this host. If all were ejected, callers
 // would be refused while every target is idle.
 #[test]
-fn no_more_than_the_allowed_share_is_set_aside() {
+fn no_more_than_the_maximum_share_is_ejected() {
     let now = Instant::now();
     let specs = specs(4);
     let mut table = table(&specs, now);
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn a_leaving_target_gets_nothing() {
+fn a_leaving_target_gets_no_requests() {
     let now = Instant::now();
     let mut specs = specs(3);
     specs[1].leaving = true;
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn a_target_that_failed_the_request_is_the_last_to_get_it_again() {
+fn a_target_that_failed_the_request_gets_it_again_only_if_no_other_is_left() {
     let now = Instant::now();
     let specs = specs(2);
     let table = table(&specs, now);
@@ -92,10 +93,10 @@
     assert!(again.is_some());
 }
 
-// All slots are in use as far as reports tell. More requests would wait inside the engine, where
-// nobody can serve one team before another or take them back.
+// According to the reports, all slots are in use. Further requests would queue inside the target,
+// where they can be neither ordered by team nor cancelled.
 #[test]
-fn full_targets_get_nothing_until_the_report_ages() {
+fn full_targets_get_no_requests_until_the_report_ages() {
     let now = Instant::now();
     let specs = specs(2);
     let mut table = table(&specs, now);
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn a_prefix_goes_to_one_target_until_that_is_much_busier() {
+fn a_prefix_goes_to_one_target_until_it_is_much_busier_than_the_others() {
     let now = Instant::now();
     let specs = specs(5);
     let mut table = table(&specs, now);
@@ -131,10 +132,10 @@
     assert_eq!(busy.reason, ChoiceReason::Wait);
 }
 
-// A target is added while traffic runs. Flooded at once with a cold cache, its first requests
-// would be the slowest of all.
+// A target is added under load. Its cache is cold, so a full share of requests at once would make its
+// first requests the slowest of all.
 #[test]
-fn a_new_target_is_given_work_little_by_little() {
+fn a_new_target_gets_a_slow_start() {
     let now = Instant::now();
     let mut specs = specs(2);
     let mut table = table(&specs[..1], now);
@@ -145,7 +146,7 @@
     }
 
     let at_once = counts(&table, &specs, now)[1];
-    let later = counts(&table, &specs, now + WARM_TIME)[1];
+    let later = counts(&table, &specs, now + SLOW_START_WINDOW)[1];
 
     assert_eq!(at_once, 0);
     assert!(later > 0);
