--- a/crates/cuminramp-targets/src/crashes.rs
+++ b/crates/cuminramp-targets/src/crashes.rs
@@ -1,22 +1,25 @@
-//! Requests that crash the targets that run them.
+//! Tracks poison requests: requests that crash the targets that run them.
 
 use std::time::Duration;
 
 use cuminramp_core::{Name, SortedMap};
 use tokio::time::Instant;
 
-/// Most fingerprints remembered.
-const MOST_RECORDS: usize = 10_000;
+/// Number of records at which expired records and those with a single crash are dropped.
+const MAX_RECORDS: usize = 10_000;
 
-/// What is known of one fingerprint.
+/// Crashes of the requests with one fingerprint.
 #[derive(Clone, Debug)]
 struct CrashRecord {
+    /// Crash count: the highest that any host reported, plus the crashes that this host saw since.
     crashes: u32,
+    /// Time of the last crash that this host saw or received a report of.
     last: Instant,
+    /// Attempts that run on this host.
     running: u32,
-    /// Where it runs, while it does.
+    /// Target of the last attempt. Meaningful only while `running` is not 0.
     target: Option<Name>,
-    /// When this host saw it take a target last; `None` where only others did.
+    /// Time of the last crash that this host saw itself; `None` if only other hosts saw one.
     seen_here: Option<Instant>,
 }
 
@@ -26,12 +29,11 @@
     }
 }
 
-/// Counts crashes by the fingerprint of the request.
+/// Counts crashes of targets by the fingerprint of the request that they ran.
 ///
-/// A request that kills each target that runs it takes the whole pool down if it is retried, or if
-/// its caller sends it again. One would notice targets failing one after another. So a request whose
-/// target died is a suspect: it runs no more than once at a time, and after `limit` crashes not at
-/// all for a while.
+/// A poison request crashes every target that runs it. Retried by a host or sent again by its caller,
+/// it would crash the targets of a pool one after another. So a request whose target crashed runs at
+/// most once at a time, and after `limit` crashes it is quarantined.
 #[derive(Clone, Debug)]
 pub struct CrashTable {
     limit: u32,
@@ -40,7 +42,7 @@
 }
 
 impl CrashTable {
-    /// Allows `limit` crashes, then `quarantine` without a run.
+    /// Creates a table that quarantines a request for `quarantine` once it has crashed `limit` targets.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
@@ -57,8 +59,8 @@
         CrashTable { limit, quarantine, records: SortedMap::new() }
     }
 
-    /// Whether an attempt may begin now. A suspect that is running on another target has to wait
-    /// for its outcome: two at once could take two targets more.
+    /// Starts an attempt, if it is allowed, and returns whether it is. A request with a recorded crash
+    /// must wait while another attempt runs: two at once could crash two more targets.
     pub fn begin(&mut self, fingerprint: u64, now: Instant) -> bool {
         let (limit, quarantine) = (self.limit, self.quarantine);
         let Some(record) = self.records.get_mut(&fingerprint) else {
@@ -75,17 +77,18 @@
         allowed
     }
 
-    /// An attempt that [`begin`](Self::begin) allowed is over, however it ended.
+    /// Ends an attempt that [`begin`](Self::begin) allowed, whatever its outcome.
     pub fn end(&mut self, fingerprint: u64) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.running = record.running.saturating_sub(1);
         }
     }
 
-    /// A target died under this request; the request ran alone there, or nothing tells it from its
-    /// neighbours. Returns how many it took so far.
+    /// Records that a target crashed while it ran this request. Other requests may have run there too:
+    /// the crash is then recorded for each, as nothing shows which one caused it. Returns the crash
+    /// count of the request.
     pub fn on_crash(&mut self, fingerprint: u64, now: Instant) -> u32 {
-        if self.records.len() >= MOST_RECORDS {
+        if self.records.len() >= MAX_RECORDS {
             let quarantine = self.quarantine;
             self.records.retain(|_, record| {
                 now.saturating_duration_since(record.last) <= quarantine && record.crashes > 1
@@ -98,12 +101,12 @@
         record.crashes
     }
 
-    /// It ran to its end: whatever took its target was something else.
+    /// Clears a request that ran to completion: its earlier crashes had another cause.
     pub fn on_success(&mut self, fingerprint: u64) {
         self.records.remove(&fingerprint);
     }
 
-    /// A suspect that [`begin`](Self::begin) allowed goes to this target.
+    /// Records the target of an attempt that [`begin`](Self::begin) allowed.
     pub fn place(&mut self, fingerprint: u64, target: &Name) {
         if let Some(record) = self.records.get_mut(&fingerprint)
             && record.running > 0
@@ -112,49 +115,54 @@
         }
     }
 
-    /// Targets on which suspects run. Another suspect goes elsewhere: were two on one target that
-    /// dies, the harmless one would be blamed again.
+    /// Returns the targets on which requests with recorded crashes run. Another request with a crash must
+    /// avoid them: if the target crashed, the harmless one of the two would be counted again too.
     pub fn suspect_targets(&self) -> Vec<Name> {
         let running = self.records.values().filter(|record| record.running > 0);
         running.filter_map(|record| record.target.clone()).collect()
     }
 
-    /// How many targets a fingerprint took so far.
+    /// Returns the crash count of a fingerprint.
     pub fn crashes(&self, fingerprint: u64) -> u32 {
         self.records.get(&fingerprint).map_or(0, |record| record.crashes)
     }
 
-    /// How long a request is not to be run, since it took as many targets as are allowed. Unlike
-    /// [`begin`](Self::begin) this holds back no suspect that has taken fewer: where callers often
-    /// send the same bytes, one broken connection would hold back all of them.
+    /// Returns how long a request stays quarantined; `None` if it is not. Unlike [`begin`](Self::begin),
+    /// this does not stop requests below the crash limit: where callers often send identical requests,
+    /// one broken connection would stop all of them.
     pub fn quarantine_left(&self, fingerprint: u64, now: Instant) -> Option<Duration> {
         let record = self.records.get(&fingerprint)?;
         let left = self.quarantine.checked_sub(now.saturating_duration_since(record.last))?;
         (record.crashes >= self.limit).then_some(left)
     }
 
-    /// Whether no request is suspected.
+    /// Whether no crash is recorded.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// What this host saw within the last `within`, to be told to others: each fingerprint, and how
-    /// many targets it took by all that is known here. What only others saw is left out, or hosts
-    /// would tell each other the same for ever. At most `most` are named, those that took most
+    /// Returns the fingerprints of crashes that this host saw in the last `within`, with their crash
+    /// counts, to be reported to other hosts. Crashes that only others saw are left out; otherwise hosts
+    /// would report them to each other for ever. Returns at most `max_records`, the highest counts
     /// first.
-    pub fn seen_lately(&self, within: Duration, most: usize, now: Instant) -> Vec<(u64, u32)> {
-        let is_late = |record: &CrashRecord| {
+    pub fn seen_lately(
+        &self,
+        within: Duration,
+        max_records: usize,
+        now: Instant,
+    ) -> Vec<(u64, u32)> {
+        let is_recent = |record: &CrashRecord| {
             record.seen_here.is_some_and(|at| now.duration_since(at) < within)
         };
-        let lately = self.records.iter().filter(|(_, record)| is_late(record));
+        let recent = self.records.iter().filter(|(_, record)| is_recent(record));
         let mut seen: Vec<(u64, u32)> =
-            lately.map(|(fingerprint, record)| (*fingerprint, record.crashes)).collect();
+            recent.map(|(fingerprint, record)| (*fingerprint, record.crashes)).collect();
         seen.sort_by_key(|(_, crashes)| std::cmp::Reverse(*crashes));
-        seen.truncate(most);
+        seen.truncate(max_records);
         seen
     }
 
-    /// Takes in what another host counted.
+    /// Merges the crash count that another host reported: the higher count wins.
     pub fn merge(&mut self, fingerprint: u64, crashes: u32, now: Instant) {
         let record = self.records.get_or_insert_with(fingerprint, || CrashRecord::new(now));
         record.crashes = record.crashes.max(crashes);
--- a/crates/cuminramp-targets/src/crashes/tests.rs
+++ b/crates/cuminramp-targets/src/crashes/tests.rs
@@ -10,10 +10,10 @@
     CrashTable::new(3, QUARANTINE)
 }
 
-/// A request breaks three targets, and its caller sends it again and again. Each further run would
-/// take a target from everybody else.
+/// A poison request crashes three targets and its caller keeps sending it. Each further run would crash
+/// a target that other callers use.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_took_three_targets_is_held_back_for_a_while() {
+async fn a_request_that_crashed_three_targets_is_quarantined_for_a_limited_time() {
     let mut table = table();
 
     let mut quarantine_left = Vec::new();
@@ -28,9 +28,10 @@
     assert!(table.quarantine_left(8, Instant::now()).is_none());
 }
 
-/// A request is cut off twice by faults that have nothing to do with it, and runs whole in between.
+/// A request loses its connection to the target because of unrelated faults, three times in all, and
+/// completes before the third. It must not be quarantined.
 #[tokio::test(start_paused = true)]
-async fn a_run_to_the_end_clears_a_request() {
+async fn a_completed_run_clears_a_request() {
     let mut table = table();
     table.on_crash(7, Instant::now());
     table.on_crash(7, Instant::now());
@@ -41,10 +42,10 @@
     assert!(table.quarantine_left(7, Instant::now()).is_none());
 }
 
-/// The caller goes to another host with each try. Hosts that knew only their own third of it would
-/// let it take nine targets.
+/// A caller sends each retry to another host. Three hosts that each counted only the crashes they saw
+/// themselves would let the request crash nine targets.
 #[tokio::test(start_paused = true)]
-async fn what_others_saw_counts_and_is_not_told_on() {
+async fn crashes_seen_by_others_count_and_are_not_reported_again() {
     let (mut here, mut there) = (table(), table());
     here.on_crash(7, Instant::now());
     here.on_crash(7, Instant::now());
@@ -52,26 +53,26 @@
     for (fingerprint, crashes) in here.seen_lately(Duration::from_secs(2), 64, Instant::now()) {
         there.merge(fingerprint, crashes, Instant::now());
     }
-    let told_on = there.seen_lately(Duration::from_secs(2), 64, Instant::now());
+    let reported_again = there.seen_lately(Duration::from_secs(2), 64, Instant::now());
     there.on_crash(7, Instant::now());
 
-    assert!(told_on.is_empty());
+    assert!(reported_again.is_empty());
     assert!(there.quarantine_left(7, Instant::now()).is_some());
     advance(Duration::from_secs(3)).await;
     assert!(here.seen_lately(Duration::from_secs(2), 64, Instant::now()).is_empty());
 }
 
-/// A third of the targets goes down under hundreds of requests. All of them in one heartbeat would be more
-/// than receivers read; those nearest to being held back matter most.
+/// A third of the targets crashes while running hundreds of requests. All their fingerprints in one
+/// heartbeat would exceed what receivers read, so the requests closest to quarantine come first.
 #[tokio::test(start_paused = true)]
-async fn what_is_told_is_bounded_and_the_worst_goes_first() {
+async fn reported_crashes_are_bounded_and_the_highest_counts_come_first() {
     let mut table = table();
     (0..500).for_each(|fingerprint| {
         table.on_crash(fingerprint, Instant::now());
     });
     table.on_crash(321, Instant::now());
 
-    let told = table.seen_lately(Duration::from_secs(2), 64, Instant::now());
+    let reported = table.seen_lately(Duration::from_secs(2), 64, Instant::now());
 
-    assert_eq!((told.len(), told[0]), (64, (321, 2)));
+    assert_eq!((reported.len(), reported[0]), (64, (321, 2)));
 }
