--- a/crates/cuminramp-targets/src/retry.rs
+++ b/crates/cuminramp-targets/src/retry.rs
@@ -1,24 +1,24 @@
-//! What follows a failed attempt: the one place that decides it.
+//! Decides what follows a failed attempt, and limits retries.
 
 use std::time::Duration;
 
 use cuminramp_core::{Execution, ResultCode};
 use tokio::time::Instant;
 
-/// How far an attempt had come when it failed.
+/// Stage that an attempt had reached when it failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FailureStage {
-    /// No byte had reached the target.
+    /// No byte reached the target.
     NotSent,
-    /// The target refused it with a status that says it did not run it.
+    /// The target refused the request with a status that means that it did not run it.
     Refused,
-    /// It was sent and no answer came.
+    /// The request was sent and no answer arrived.
     Sent,
-    /// The target answered that it failed.
+    /// The target answered with an error after it ran the request.
     Failed,
-    /// Part of the answer had come; for a stream, so many events were passed on.
+    /// Part of the answer arrived. For a stream, `events` were passed on to the caller.
     Partial {
-        /// Events that the caller has.
+        /// Number of events that the caller has received.
         events: usize,
     },
 }
@@ -26,50 +26,51 @@
 /// A failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AttemptFailure {
-    /// How far it had come.
+    /// Stage that the attempt had reached.
     pub stage: FailureStage,
-    /// Whether the connection broke or was refused, as it is when a target dies.
+    /// Whether the connection was lost or refused, as happens when a target crashes.
     pub is_crash: bool,
 }
 
-/// What matters of the request.
+/// Properties of a request that decide whether it is retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestTraits {
-    /// Whether it may run twice.
+    /// Whether the request may run more than once.
     pub is_repeatable: bool,
-    /// Whether a target can go on with its answer from a position.
+    /// Whether another target can resume its answer from a given position.
     pub is_resumable: bool,
-    /// Until when it makes sense.
+    /// Time after which an answer is of no use to the caller.
     pub deadline: Instant,
-    /// Attempts in all.
+    /// Maximum number of attempts, the first included.
     pub max_attempts: u32,
-    /// What earlier attempts left: a request that one target may have run is not made "not run" by
-    /// another that could not be reached.
+    /// Whether an earlier attempt ran the request. If one target may have run it, a later attempt on an
+    /// unreachable target must not turn the result into "not run".
     pub earlier: Execution,
 }
 
-/// What to do next.
+/// What follows a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryDecision {
-    /// Send it again, to another target first.
+    /// Send the request again, preferably to another target.
     Resend,
-    /// Ask another target to go on after this many events.
+    /// Ask another target to resume the stream after `events`.
     Resume {
-        /// Events that the caller has.
+        /// Number of events that the caller has received.
         events: usize,
     },
-    /// Give up and say so.
+    /// Stop and return an error to the caller.
     GiveUp {
-        /// The code.
+        /// Result code for the caller.
         code: ResultCode,
-        /// Whether it ran.
+        /// Whether any attempt ran the request.
         execution: Execution,
     },
 }
 
-/// Decides what follows a failure of attempt number `attempt` (from 1).
+/// Decides what follows the failure of attempt number `attempt`, counted from 1.
 ///
-/// `may_retry` asks the budget, and only when a retry would follow.
+/// `may_retry` spends a retry of the budget and returns whether there was one. It is called only if a
+/// retry is otherwise allowed.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")] async fn main() {
@@ -122,7 +123,7 @@
     }
 }
 
-/// What one attempt that came so far leaves.
+/// Returns whether an attempt that failed at `stage` ran the request.
 pub fn execution_after(stage: FailureStage) -> Execution {
     match stage {
         FailureStage::NotSent | FailureStage::Refused => Execution::NotRun,
@@ -131,19 +132,22 @@
     }
 }
 
-/// A bound on retries as a share of requests.
+/// Limits retries to a share of requests.
 ///
-/// When a pool fails as a whole, each request failing over to the next target multiplies the load on
-/// what is left until that fails too. Each request earns a part of a retry, and no more are made.
+/// When many targets of a pool fail, retries multiply the load on the remaining ones until they fail
+/// too. So each request earns a fraction of a retry, and each retry spends a whole one.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
+    /// Retries earned by each request.
     share: f64,
+    /// Maximum number of retries saved up.
     burst: f64,
+    /// Retries available now.
     level: f64,
 }
 
 impl RetryBudget {
-    /// A full budget of `burst` retries that earns `share` of a retry with each request.
+    /// Creates a full budget of `burst` retries, to which each request adds `share` of a retry.
     ///
     /// ```
     /// let mut budget = cuminramp_targets::RetryBudget::new(0.5, 1.0);
@@ -157,12 +161,12 @@
         RetryBudget { share, burst, level: burst }
     }
 
-    /// A request came.
+    /// Adds the share of one request.
     pub fn earn(&mut self) {
         self.level = (self.level + self.share).min(self.burst);
     }
 
-    /// Takes one retry, if there is one.
+    /// Spends one retry and returns `true`, or returns `false` if less than one is left.
     pub fn spend(&mut self) -> bool {
         let enough = self.level >= 1.0;
         if enough {
@@ -171,7 +175,7 @@
         enough
     }
 
-    /// How long a caller should wait before it tries again itself.
+    /// Returns how long a caller should wait before it retries.
     pub fn pause(&self) -> Duration {
         if self.level >= 1.0 { Duration::from_millis(200) } else { Duration::from_secs(1) }
     }
--- a/crates/cuminramp-targets/src/retry/tests.rs
+++ b/crates/cuminramp-targets/src/retry/tests.rs
@@ -19,13 +19,13 @@
 
 const PARTIAL: FailureStage = FailureStage::Partial { events: 5 };
 
-// A booking was sent and the connection broke. Sent again it might be confirmed twice.
+// A booking is sent and the connection is lost. If it is sent again, it may be confirmed twice.
 #[test_case(FailureStage::NotSent, None; "not sent is sent again")]
 #[test_case(FailureStage::Refused, None; "refused is sent again")]
 #[test_case(FailureStage::Sent, Some(Execution::MayHaveRun); "sent may have run")]
 #[test_case(FailureStage::Failed, Some(Execution::Ran); "failed ran")]
 #[test_case(PARTIAL, Some(Execution::Ran); "partial ran")]
-fn a_request_that_may_not_repeat_is_sent_again_only_if_it_surely_did_not_run(
+fn a_non_repeatable_request_is_sent_again_only_if_it_certainly_did_not_run(
     stage: FailureStage,
     expected: Option<Execution>,
 ) {
@@ -43,7 +43,8 @@
     }
 }
 
-// A stream breaks off in the middle. Begun anew, the caller would read its start twice.
+// A stream fails after some events were passed on. If it restarted from the beginning, the caller would
+// receive those events twice.
 #[test_case(true, RetryDecision::Resume { events: 5 }; "resumable")]
 #[test_case(false, RetryDecision::GiveUp { code: ResultCode::StreamBroken, execution: Execution::Ran }; "not resumable")]
 fn a_broken_stream_is_resumed_or_ends_with_an_error(resumable: bool, expected: RetryDecision) {
@@ -55,10 +56,10 @@
     assert_eq!(decision, expected);
 }
 
-#[test_case(3, true, 0, ResultCode::TargetsUnavailable; "attempts used up")]
-#[test_case(1, false, 0, ResultCode::TargetsUnavailable; "budget used up")]
-#[test_case(1, true, 2, ResultCode::DeadlineExceeded; "too late")]
-fn retries_end(attempt: u32, may_retry: bool, late_s: u64, expected: ResultCode) {
+#[test_case(3, true, 0, ResultCode::TargetsUnavailable; "no attempts left")]
+#[test_case(1, false, 0, ResultCode::TargetsUnavailable; "budget exhausted")]
+#[test_case(1, true, 2, ResultCode::DeadlineExceeded; "deadline passed")]
+fn retries_are_limited(attempt: u32, may_retry: bool, late_s: u64, expected: ResultCode) {
     let now = Instant::now();
     let failure = AttemptFailure { stage: FailureStage::NotSent, is_crash: true };
     let at = now + Duration::from_secs(late_s);
@@ -68,10 +69,10 @@
     assert_eq!(decision, RetryDecision::GiveUp { code: expected, execution: Execution::NotRun });
 }
 
-// The first target takes a request and falls silent; the second can't be reached. Answered "not run", the
-// caller would send anew what the first may have run.
+// The first target receives a request and sends no answer; the second is unreachable. If the result were
+// "not run", the caller would send a request again that the first target may have run.
 #[test]
-fn a_second_attempt_does_not_hide_what_the_first_may_have_done() {
+fn a_second_attempt_does_not_hide_that_the_first_may_have_run() {
     let now = Instant::now();
     let traits = RequestTraits { earlier: Execution::MayHaveRun, ..traits(true, true, now) };
     let failure = AttemptFailure { stage: FailureStage::NotSent, is_crash: false };
