--- a/crates/cuminramp-targets/src/packing.rs
+++ b/crates/cuminramp-targets/src/packing.rs
@@ -1,4 +1,4 @@
-//! On how few targets online work is packed while batch has work for the rest.
+//! Packs online work onto few targets while batch work is open for the rest.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -8,33 +8,35 @@
 
 use crate::TargetSpec;
 
-/// Online requests on a packed target, as a share of its slots.
-const PACKED_SHARE: f64 = 0.25;
-/// Targets beyond what the load asks for, so that a burst finds one awake.
+/// Share of a target's slots that online requests fill before packing adds another target.
+const PACKED_SLOT_SHARE: f64 = 0.25;
+/// Number of targets in use beyond those that the load requires, as a reserve for bursts.
 const SPARE_TARGETS: usize = 1;
-/// The number of targets shrinks by one in this time.
-const SHRINK_TIME: Duration = Duration::from_secs(1);
+/// Minimum time between two reductions of the number of targets, each by one.
+const SHRINK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many targets of a pool online work uses while batch work is open.
+/// Limits the targets of a pool that online work uses while batch work is open.
 ///
-/// Spread over all targets, a little online work keeps batch away from every one of them: batch stays
-/// away from a target for a while after each online request. One would notice engines nearly idle with
-/// jobs waiting. So online work keeps to the first few targets, in an order that all hosts share, as
-/// many as its load asks for at a share of slots that hardly slows it.
+/// Each online request keeps batch work off its target for a while. Spread over all targets, even a
+/// light online load would keep batch work off every one, and jobs would wait while targets are nearly
+/// idle. So online work uses only the first targets in an order that is the same on all hosts, as many
+/// as the load requires when each fills a share of slots that hardly slows it.
 #[derive(Clone, Debug)]
 pub struct OnlinePacking {
+    /// Number of targets in use.
     targets: usize,
-    shrunk_at: Instant,
+    /// Time at which the number last changed or was last confirmed by the load.
+    confirmed_at: Instant,
 }
 
 impl OnlinePacking {
-    /// Starts with all targets in use.
+    /// Creates a packing with all targets in use.
     pub fn new(now: Instant) -> Self {
-        OnlinePacking { targets: usize::MAX, shrunk_at: now }
+        OnlinePacking { targets: usize::MAX, confirmed_at: now }
     }
 
-    /// The targets to use, given `in_flight` online requests of all hosts on the pool. Leaving targets
-    /// are left out; the number grows at once and shrinks slowly.
+    /// Returns the targets to use for `in_flight` online requests, counted over all hosts of the pool.
+    /// Leaving targets are excluded. The number of targets grows at once and shrinks by one per interval.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
@@ -52,30 +54,30 @@
         in_flight: f64,
         now: Instant,
     ) -> Vec<TargetSpec> {
-        let mut staying: Vec<&TargetSpec> = specs.iter().filter(|spec| !spec.leaving).collect();
-        staying.sort_by_cached_key(|spec| Reverse(rendezvous_score("online", &spec.name)));
-        let wanted = wanted_targets(&staying, in_flight);
-        self.targets = self.targets.min(staying.len());
-        if wanted >= self.targets {
-            self.targets = wanted;
-            self.shrunk_at = now;
-        } else if now.saturating_duration_since(self.shrunk_at) >= SHRINK_TIME {
+        let mut available: Vec<&TargetSpec> = specs.iter().filter(|spec| !spec.leaving).collect();
+        available.sort_by_cached_key(|spec| Reverse(rendezvous_score("online", &spec.name)));
+        let required = required_targets(&available, in_flight);
+        self.targets = self.targets.min(available.len());
+        if required >= self.targets {
+            self.targets = required;
+            self.confirmed_at = now;
+        } else if now.saturating_duration_since(self.confirmed_at) >= SHRINK_INTERVAL {
             self.targets -= 1;
-            self.shrunk_at = now;
+            self.confirmed_at = now;
         }
-        staying.into_iter().take(self.targets).cloned().collect()
+        available.into_iter().take(self.targets).cloned().collect()
     }
 }
 
-/// How many of the targets, in order, carry the load at the packed share.
-fn wanted_targets(staying: &[&TargetSpec], in_flight: f64) -> usize {
-    let mut carried = 0.0;
+/// Returns how many of the targets, in order, are required for the load, the reserve included.
+fn required_targets(available: &[&TargetSpec], in_flight: f64) -> usize {
+    let mut capacity = 0.0;
     let mut count = 0;
-    while count < staying.len() && carried < in_flight {
-        carried += f64::from(staying[count].slots) * PACKED_SHARE;
+    while count < available.len() && capacity < in_flight {
+        capacity += f64::from(available[count].slots) * PACKED_SLOT_SHARE;
         count += 1;
     }
-    (count + SPARE_TARGETS).min(staying.len())
+    (count + SPARE_TARGETS).min(available.len())
 }
 
 #[cfg(test)]
--- a/crates/cuminramp-targets/src/packing/tests.rs
+++ b/crates/cuminramp-targets/src/packing/tests.rs
@@ -10,7 +10,8 @@
     (0..8).map(spec).collect()
 }
 
-// A few callers keep every engine's window closed: jobs wait while engines are nearly idle.
+// A few callers spread over all targets would keep every batch window closed, and jobs would wait while
+// targets are nearly idle.
 #[test]
 fn light_online_work_leaves_most_targets_to_batch() {
     let mut now = Instant::now();
@@ -24,7 +25,8 @@
     assert_eq!(packing.choose(&specs(), 6.0, now).len(), 3);
 }
 
-// Families call in a burst. Held to the few targets of a quiet time, they would queue there.
+// Online requests arrive in a burst. Limited to the few targets of the light load before it, they would
+// queue there.
 #[test]
 fn a_burst_gets_more_targets_at_once() {
     let mut now = Instant::now();
--- a/crates/cuminramp-targets/src/window.rs
+++ b/crates/cuminramp-targets/src/window.rs
@@ -1,4 +1,4 @@
-//! How much batch work an engine may have.
+//! Limits the batch requests in flight on a target.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 
 use crate::LoadSnapshot;
 
-/// How windows open and close.
+/// Limits and times of batch windows.
 #[derive(Clone, Debug)]
 pub struct WindowPolicy {
-    /// The share of an engine's slots that batch may fill when nothing else runs.
+    /// Maximum share of a target's slots that batch work may fill when no other work runs there.
     pub share: f64,
-    /// How long after online work batch stays away.
+    /// Time for which a window stays closed after online work.
     pub yield_time: Duration,
-    /// A window doubles no faster than this.
-    pub refill: Duration,
-    /// A report older than this closes the window step by step.
-    pub report_limit: Duration,
+    /// Minimum time between two doublings of a window.
+    pub growth_interval: Duration,
+    /// Age of a load report above which the window shrinks, linearly to 0 at twice this age.
+    pub max_report_age: Duration,
 }
 
 impl Default for WindowPolicy {
@@ -24,29 +24,31 @@
         WindowPolicy {
             share: 1.0,
             yield_time: Duration::from_millis(250),
-            refill: Duration::from_millis(50),
-            report_limit: Duration::from_secs(2),
+            growth_interval: Duration::from_millis(50),
+            max_report_age: Duration::from_secs(2),
         }
     }
 }
 
-/// The window of one engine, kept by the one host that is its steward.
+/// Maximum number of batch requests in flight on one target, maintained by the target's batch owner.
 ///
-/// Engines know no priorities: a batch sequence that is in slows each online sequence beside it by
-/// its part of every step. One would notice the time between an online caller's tokens grow with
-/// batch. So batch is only let in where no online work is known, leaves at once when some comes, and
-/// returns by doubling.
+/// Inference engines have no priorities: each batch sequence takes part of every step and so increases
+/// the time between the tokens of the online sequences that run beside it. So the window opens only
+/// while no online work is known on the target, closes at once when some arrives, and then grows again
+/// by doubling.
 #[derive(Clone, Debug)]
 pub struct BatchWindow {
     policy: WindowPolicy,
     slots: u32,
     size: u32,
+    /// Time at which the window last grew or was closed.
     grown_at: Instant,
+    /// Time at which online work was last known on the target.
     online_at: Option<Instant>,
 }
 
 impl BatchWindow {
-    /// A closed window of an engine with `slots` slots.
+    /// Creates a closed window for a target with `slots` slots.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
@@ -62,15 +64,15 @@
         BatchWindow { policy, slots, size: 0, grown_at: now, online_at: None }
     }
 
-    /// Another host, or this one, sends online work to the engine.
+    /// Closes the window because this or another host sends online work to the target.
     pub fn on_online(&mut self, now: Instant) {
         self.online_at = Some(now);
         self.size = 0;
         self.grown_at = now;
     }
 
-    /// The size now, given this host's own online requests there, the engine's last report and this
-    /// host's batch requests there.
+    /// Updates the window and returns its size. `own_online` and `own_batch` are the requests that this
+    /// host has in flight on the target, `report` is the target's last load report.
     pub fn update(
         &mut self,
         own_online: u32,
@@ -84,9 +86,10 @@
         if self.is_yielding(now) {
             return 0;
         }
-        let most = (f64::from(self.slots) * self.policy.share) as u32;
-        let allowed = self.allowed_by(report, own_batch, most, now);
-        if self.size < allowed && now.saturating_duration_since(self.grown_at) >= self.policy.refill
+        let max_size = (f64::from(self.slots) * self.policy.share) as u32;
+        let allowed = self.allowed_size(report, own_batch, max_size, now);
+        if self.size < allowed
+            && now.saturating_duration_since(self.grown_at) >= self.policy.growth_interval
         {
             self.size = (self.size * 2).max(1);
             self.grown_at = now;
@@ -96,25 +99,26 @@
     }
 
     fn is_yielding(&self, now: Instant) -> bool {
-        let yielded = |at: Instant| now.saturating_duration_since(at) < self.policy.yield_time;
-        self.online_at.is_some_and(yielded)
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < self.policy.yield_time;
+        self.online_at.is_some_and(is_recent)
     }
 
-    /// What the report leaves: slots that others don't use. An old report can only take away.
-    fn allowed_by(
+    /// Returns the size that the report allows: the slots that no other host uses. Without a report it is
+    /// half of the maximum, as other hosts' load is unknown; an overdue report reduces it.
+    fn allowed_size(
         &self,
         report: Option<LoadSnapshot>,
         own_batch: u32,
-        most: u32,
+        max_size: u32,
         now: Instant,
     ) -> u32 {
         let Some(report) = report else {
-            return most / 2;
+            return max_size / 2;
         };
         let others = report.requests.saturating_sub(own_batch.max(self.size));
-        let free = most.saturating_sub(others);
+        let free = max_size.saturating_sub(others);
         let age = now.saturating_duration_since(report.at);
-        let limit = self.policy.report_limit;
+        let limit = self.policy.max_report_age;
         if age <= limit {
             return free;
         }
--- a/crates/cuminramp-targets/src/window/tests.rs
+++ b/crates/cuminramp-targets/src/window/tests.rs
@@ -16,7 +16,8 @@
     window
 }
 
-// Families call while engines are full of batch work. Each waits for batch items to end.
+// Online requests arrive while targets are full of batch work. If the window stayed open, they would
+// wait for batch items to end.
 #[test]
 fn the_window_closes_at_once_when_online_arrives_and_opens_slowly_after() {
     let now = Instant::now();
@@ -26,15 +27,15 @@
 
     window.on_online(at);
     let closed = window.update(0, report(at), 16, at + STEP);
-    let back = at + Duration::from_millis(300);
+    let reopened = at + Duration::from_millis(300);
     let sizes: Vec<u32> =
-        (0..5).map(|step| window.update(0, report(back), 0, back + STEP * step)).collect();
+        (0..5).map(|step| window.update(0, report(reopened), 0, reopened + STEP * step)).collect();
 
     assert_eq!(closed, 0);
     assert_eq!(sizes, [1, 2, 4, 8, 16]);
 }
 
-// An engine's reports stop. What it said last was an idle engine; by now it may be full.
+// A target's load reports stop. The last one shows an idle target, which may be full by now.
 #[test]
 fn an_old_report_closes_the_window() {
     let now = Instant::now();
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn slots_that_others_use_are_left_to_them() {
+fn slots_used_by_other_hosts_are_not_used_for_batch() {
     let now = Instant::now();
     let mut window = opened(now);
     let at = now + Duration::from_secs(1);
