--- a/crates/cuminramp-targets/src/fair_queue.rs
+++ b/crates/cuminramp-targets/src/fair_queue.rs
@@ -1,38 +1,43 @@
-//! Waiting work, served by weight.
+//! Queues waiting work and serves teams by weight.
 
 use std::collections::VecDeque;
 
 use cuminramp_core::{Name, SortedMap};
 
-/// What one unit of weight earns in one turn.
+/// Deficit that one unit of weight adds in one turn.
 const QUANTUM: u64 = 1;
 
 #[derive(Debug)]
-struct TeamLine<T> {
+struct TeamQueue<T> {
     weight: u64,
+    /// Cost that the team may still spend in its turn.
     deficit: u64,
+    /// Waiting items, each with its cost.
     items: VecDeque<(u64, T)>,
 }
 
-/// Deficit round robin over teams: each turn a team earns its weight and spends it on its items.
+/// Serves teams by deficit round robin: each turn adds a team's weight to its deficit, which the team
+/// spends on its items.
 ///
-/// A first-come queue serves whoever sends most: a team at several times its rate fills it, and
-/// others wait behind. Here a team waits only behind one turn of each other team.
+/// In a first-come, first-served queue, a team that sends several times its rate fills the queue, and
+/// all others wait behind its items. Here a team waits only for one turn of each other team.
 #[derive(Debug)]
 pub struct FairQueue<T> {
-    lines: SortedMap<Name, TeamLine<T>>,
-    turns: VecDeque<Name>,
+    queues: SortedMap<Name, TeamQueue<T>>,
+    /// Teams with waiting items, in the order of their turns.
+    active: VecDeque<Name>,
+    /// Number of waiting items of all teams.
     length: usize,
 }
 
 impl<T> Default for FairQueue<T> {
     fn default() -> Self {
-        FairQueue { lines: SortedMap::new(), turns: VecDeque::new(), length: 0 }
+        FairQueue { queues: SortedMap::new(), active: VecDeque::new(), length: 0 }
     }
 }
 
 impl<T> FairQueue<T> {
-    /// An empty queue.
+    /// Creates an empty queue.
     ///
     /// ```
     /// let mut queue = cuminramp_targets::FairQueue::new();
@@ -47,44 +52,45 @@
         Self::default()
     }
 
-    /// Adds an item of a team with its weight; `cost` is what the item takes of a turn.
+    /// Adds an item of `team` and sets the team's weight. Serving the item reduces the team's deficit by
+    /// `cost`.
     pub fn push(&mut self, team: &Name, weight: u32, cost: u64, item: T) {
-        let fresh = || TeamLine { weight: 1, deficit: 0, items: VecDeque::new() };
-        let line = self.lines.get_or_insert_with(team.clone(), fresh);
-        line.weight = u64::from(weight.max(1));
-        if line.items.is_empty() {
-            line.deficit = 0;
-            self.turns.push_back(team.clone());
+        let new_queue = || TeamQueue { weight: 1, deficit: 0, items: VecDeque::new() };
+        let queue = self.queues.get_or_insert_with(team.clone(), new_queue);
+        queue.weight = u64::from(weight.max(1));
+        if queue.items.is_empty() {
+            queue.deficit = 0;
+            self.active.push_back(team.clone());
         }
-        line.items.push_back((cost.max(1), item));
+        queue.items.push_back((cost.max(1), item));
         self.length += 1;
     }
 
-    /// Takes the next item.
+    /// Removes and returns the next item.
     pub fn pop(&mut self) -> Option<T> {
         loop {
-            let team = self.turns.front()?.clone();
-            let Some(line) = self.lines.get_mut(&*team) else {
-                self.turns.pop_front();
+            let team = self.active.front()?.clone();
+            let Some(queue) = self.queues.get_mut(&*team) else {
+                self.active.pop_front();
                 continue;
             };
-            let cost = line.items.front().map_or(0, |(cost, _)| *cost);
-            if line.deficit < cost {
-                line.deficit += line.weight * QUANTUM;
-                if line.deficit < cost {
-                    self.turns.rotate_left(1);
+            let cost = queue.items.front().map_or(0, |(cost, _)| *cost);
+            if queue.deficit < cost {
+                queue.deficit += queue.weight * QUANTUM;
+                if queue.deficit < cost {
+                    self.active.rotate_left(1);
                     continue;
                 }
             }
-            line.deficit -= cost;
-            let item = line.items.pop_front().map(|(_, item)| item);
-            let next_cost = line.items.front().map(|(cost, _)| *cost);
+            queue.deficit -= cost;
+            let item = queue.items.pop_front().map(|(_, item)| item);
+            let next_cost = queue.items.front().map(|(cost, _)| *cost);
             match next_cost {
                 None => {
-                    self.turns.pop_front();
-                    self.lines.remove(&*team);
+                    self.active.pop_front();
+                    self.queues.remove(&*team);
                 }
-                Some(cost) if line.deficit < cost => self.turns.rotate_left(1),
+                Some(cost) if queue.deficit < cost => self.active.rotate_left(1),
                 Some(_) => {}
             }
             self.length -= 1;
@@ -92,12 +98,12 @@
         }
     }
 
-    /// How many items wait.
+    /// Returns the number of waiting items.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether none waits.
+    /// Whether no item waits.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
--- a/crates/cuminramp-targets/src/fair_queue/tests.rs
+++ b/crates/cuminramp-targets/src/fair_queue/tests.rs
@@ -2,13 +2,13 @@
 
 use super::FairQueue;
 
-// One team sends many times what the others do. Served first come, first served, the others
-// would wait behind all of it.
+// One team sends many times as much as the others. In a first-come, first-served queue, the others would
+// wait behind all of its items.
 #[test]
-fn a_flood_of_one_team_costs_the_others_one_turn() {
+fn a_burst_of_one_team_delays_the_others_by_one_turn() {
     let mut queue = FairQueue::new();
     for _ in 0..1_000 {
-        queue.push(&"flood".into(), 1, 1, "flood");
+        queue.push(&"busy".into(), 1, 1, "busy");
     }
     for _ in 0..10 {
         queue.push(&"calm".into(), 1, 1, "calm");
