--- a/crates/cuminramp-targets/src/lib.rs
+++ b/crates/cuminramp-targets/src/lib.rs
@@ -1,13 +1,14 @@
-//! Choice of target, ejection, retries, and the windows of batch.
+//! Target selection, outlier ejection, retries, and batch windows.
 //!
-//! Everything here is a decision: it takes what is known and the time, and returns what to do.
+//! The code in this crate does no I/O and reads no clock: each call gets the current time and the
+//! state that it needs, and returns a decision.
 //!
-//! - [`TargetTable`] chooses a target by expected wait and prefix, and sets failing ones aside.
-//! - [`decide_retry`] is the one place that says what follows a failed attempt.
-//! - [`CrashTable`] keeps a request that crashes targets from taking more than a few.
+//! - [`TargetTable`] chooses a target by expected wait and prompt prefix, and ejects failing ones.
+//! - [`decide_retry`] is the one place that decides what follows a failed attempt.
+//! - [`CrashTable`] limits how many targets a poison request can crash.
 //! - [`FairQueue`] serves waiting teams by weight.
-//! - [`OnlinePacking`] keeps online work to few targets while batch has work for the rest.
-//! - [`BatchWindow`] says how much batch work an engine may have.
+//! - [`OnlinePacking`] packs online work onto few targets while batch work is open for the rest.
+//! - [`BatchWindow`] limits the batch requests in flight on a target.
 
 mod choice;
 mod crashes;
