--- a/crates/cuminramp-membership/src/table.rs
+++ b/crates/cuminramp-membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of hosts and the rhythm of probes.
+//! The table of hosts and the probe protocol.
 
 use std::time::Duration;
 
@@ -8,21 +8,21 @@
 
 use crate::member::{Member, MemberStatus};
 
-/// How often news of a host is passed on, as a multiple of the logarithm of the number of hosts.
-const SPREAD_FACTOR: u32 = 3;
+/// Number of times that an update is sent, as a multiple of `ilog2(hosts) + 1`.
+const RETRANSMIT_FACTOR: u32 = 3;
 
-/// The rhythm of probes.
+/// Limits and timeouts of the probe protocol.
 #[derive(Clone, Debug)]
 pub struct MemberPolicy {
-    /// Others that are asked to try where a probe fails.
+    /// Number of other hosts that are asked to probe a host after a direct probe failed.
     pub indirect_probes: usize,
-    /// How long a suspect has to contradict.
+    /// Time that a suspect host has to refute the suspicion before it counts as dead.
     pub suspicion: Duration,
-    /// How late the platform's list may be.
+    /// Maximum lag of the platform's list behind the actual hosts.
     pub list_lag: Duration,
-    /// How many changes ride on one message.
+    /// Maximum number of queued updates in one message.
     pub updates_per_probe: usize,
-    /// How long a host that is dead or gone is remembered.
+    /// Time after which a host that is dead and no longer listed is removed from the table.
     pub forget_after: Duration,
 }
 
@@ -38,45 +38,48 @@
     }
 }
 
-/// A host of the platform's list.
+/// An entry of the platform's list of hosts.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListedHost {
-    /// Its peer address.
+    /// Address at which other hosts reach it.
     pub address: Name,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove the host.
     pub leaving: bool,
 }
 
-/// What the daemon has to do.
+/// A network call that the daemon must make.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MemberAction {
-    /// Probe this address.
+    /// Probe the host at this address.
     Probe(Name),
     /// Ask each of `helpers` to probe `target`.
     ProbeThrough {
-        /// The silent host.
+        /// Address of the host that did not answer.
         target: Name,
-        /// The hosts to ask.
+        /// Addresses of the hosts to ask.
         helpers: Vec<Name>,
     },
 }
 
-/// News that is still to be passed on.
+/// A member whose state is still to be sent to other hosts.
 #[derive(Debug)]
 struct PendingUpdate {
     address: Name,
+    /// Number of messages that are still to carry the update.
     remaining: u32,
 }
 
-/// What one host knows of all others.
+/// The hosts that this host knows of, with their status.
 #[derive(Debug)]
 pub struct MemberTable {
     policy: MemberPolicy,
-    me: Member,
+    /// This host.
+    local: Member,
+    /// All other hosts, by peer address.
     members: SortedMap<Name, Member>,
-    /// The platform's list as last read, sorted.
+    /// Addresses in the platform's list as last read, sorted.
     listed: Vec<Name>,
-    /// Addresses still to be probed in this round.
+    /// Addresses that are still to be probed in this round.
     round: Vec<Name>,
     updates: Vec<PendingUpdate>,
     list_read_at: Option<Instant>,
@@ -84,21 +87,21 @@
 }
 
 impl MemberTable {
-    /// A table of the host `me` that knows nobody else.
+    /// Creates a table that contains only the host that runs it.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
     /// use cuminramp_core::{Host, HostId};
     /// use cuminramp_membership::{MemberPolicy, MemberTable};
     /// let id = HostId { address: "127.0.0.1:1".into(), incarnation: 1 };
-    /// let me = Host { id, caller_address: "127.0.0.1:2".into(), zone: "a".into() };
-    /// let table = MemberTable::new(me, MemberPolicy::default(), tokio::time::Instant::now());
+    /// let host = Host { id, caller_address: "127.0.0.1:2".into(), zone: "a".into() };
+    /// let table = MemberTable::new(host, MemberPolicy::default(), tokio::time::Instant::now());
     /// assert_eq!(table.usable_hosts().len(), 1);
     /// # }
     /// ```
-    pub fn new(me: Host, policy: MemberPolicy, now: Instant) -> Self {
-        let me = Member {
-            host: me,
+    pub fn new(local_host: Host, policy: MemberPolicy, now: Instant) -> Self {
+        let local = Member {
+            host: local_host,
             status: MemberStatus::Alive,
             sequence: 0,
             since: now,
@@ -107,7 +110,7 @@
         };
         MemberTable {
             policy,
-            me,
+            local,
             members: SortedMap::new(),
             listed: Vec::new(),
             round: Vec::new(),
@@ -117,39 +120,41 @@
         }
     }
 
-    /// What this host says of itself.
+    /// Returns the state of this host, to be sent to other hosts.
     pub fn my_state(&self) -> HostState {
-        self.me.to_state()
+        self.local.to_state()
     }
 
-    /// This host.
+    /// Returns this host.
     pub fn me(&self) -> &Host {
-        &self.me.host
+        &self.local.host
     }
 
-    /// Says of this host that it takes no new work.
+    /// Marks this host as leaving, so that it gets no new work.
     pub fn leave(&mut self, now: Instant) {
-        self.me.status = MemberStatus::Leaving;
-        self.me.sequence += 1;
-        self.me.since = now;
+        self.local.status = MemberStatus::Leaving;
+        self.local.sequence += 1;
+        self.local.since = now;
     }
 
-    /// Goes on as a later run: whoever hears of it knows that the earlier one is over.
+    /// Changes this host's incarnation to a later one. Hosts that receive it treat the earlier run as
+    /// ended.
     pub fn renew(&mut self, incarnation: Incarnation, now: Instant) {
-        self.me.host.id.incarnation = incarnation;
-        self.me.sequence += 1;
-        self.me.since = now;
+        self.local.host.id.incarnation = incarnation;
+        self.local.sequence += 1;
+        self.local.since = now;
     }
 
     /// Whether this host is leaving.
     pub fn is_leaving(&self) -> bool {
-        self.me.status == MemberStatus::Leaving
+        self.local.status == MemberStatus::Leaving
     }
 
-    /// One step of the rhythm: whom to probe now.
+    /// Runs one step of the protocol: declares suspects dead and removes old entries when their timeouts
+    /// have passed, and returns the next host to probe.
     pub fn tick(&mut self, random: &mut dyn RandomSource, now: Instant) -> Vec<MemberAction> {
-        self.bury_suspects(now);
-        self.forget_gone(now);
+        self.declare_suspects_dead(now);
+        self.remove_dead_members(now);
         if self.round.is_empty() {
             self.round = self.addresses_to_probe();
         }
@@ -158,7 +163,8 @@
         next.map(MemberAction::Probe).into_iter().collect()
     }
 
-    /// A probe was not answered: others try, and without others the host is a suspect.
+    /// Handles a probe that was not answered. Returns a request for indirect probes; if no other host can
+    /// be asked, marks the host as suspect.
     pub fn on_probe_failed(
         &mut self,
         address: &str,
@@ -172,40 +178,41 @@
             chosen.push(helpers.swap_remove(random.below(helpers.len())));
         }
         if chosen.is_empty() {
-            self.suspect(address, now);
+            self.mark_suspect(address, now);
             return Vec::new();
         }
         vec![MemberAction::ProbeThrough { target: address.into(), helpers: chosen }]
     }
 
-    /// Nobody reached the host; says whether it becomes a suspect by this.
+    /// Records that indirect probes failed too. Returns whether this makes the host suspect.
     pub fn on_unreachable(&mut self, address: &str, now: Instant) -> bool {
-        self.suspect(address, now)
+        self.mark_suspect(address, now)
     }
 
-    /// A host spoke for itself, by a probe or an answer. One that is held for suspect or dead is told so
-    /// with the next message, see [`take_updates`](Self::take_updates), and contradicts.
+    /// Applies the state that a host sent about itself in a probe or an answer. If it is recorded as
+    /// suspect or dead, the next message to it includes that state (see
+    /// [`take_updates`](Self::take_updates)), and the host refutes it.
     pub fn on_message(&mut self, state: &HostState, now: Instant) {
         self.merge(state, now);
     }
 
-    /// News of any host, passed on by another.
+    /// Applies an update about any host that another host sent. Refutes a wrong one about this host.
     pub fn on_update(&mut self, state: &HostState, now: Instant) {
-        if state.address == *self.me.host.id.address {
-            self.contradict(state, now);
+        if state.address == *self.local.host.id.address {
+            self.refute(state, now);
         } else {
             self.merge(state, now);
         }
     }
 
-    /// The platform's list, as it was some time ago.
+    /// Applies the platform's list, which may lag behind the actual hosts.
     pub fn on_list(&mut self, hosts: &[ListedHost], now: Instant) {
         self.list_read_at = Some(now);
         self.listed = hosts.iter().map(|host| host.address.clone()).collect();
         self.listed.sort();
         let leaves =
             |address: &str| hosts.iter().any(|host| host.leaving && *host.address == *address);
-        self.me.listed_leaving = leaves(&self.me.host.id.address);
+        self.local.listed_leaving = leaves(&self.local.host.id.address);
         for (address, member) in self.members.iter_mut() {
             member.listed_leaving = leaves(address);
             member.unlisted_since = match self.listed.binary_search(address) {
@@ -219,15 +226,15 @@
         self.listed.binary_search(address).is_ok()
     }
 
-    /// Listed addresses that never said who they are.
-    fn strangers(&self) -> impl Iterator<Item = &Name> {
+    /// Returns the listed addresses from which no state has been received.
+    fn unidentified_addresses(&self) -> impl Iterator<Item = &Name> {
         self.listed.iter().filter(|address| {
-            **address != self.me.host.id.address && !self.members.contains_key(&***address)
+            **address != self.local.host.id.address && !self.members.contains_key(&***address)
         })
     }
 
-    /// News to put on the next message, with what the receiver at `address` is said to be where that
-    /// is not "alive", so that it can contradict at once.
+    /// Returns the updates for the next message and counts them as sent. If the receiver at `address` is
+    /// not recorded as alive, its own state comes first, so that it can refute it at once.
     pub fn take_updates(&mut self, address: Option<&str>) -> Vec<HostState> {
         self.updates.sort_by_key(|update| std::cmp::Reverse(update.remaining));
         let mut states = Vec::new();
@@ -246,21 +253,21 @@
         states
     }
 
-    /// Hosts that take new work, this one among them unless it leaves, sorted by address.
+    /// Returns the hosts that accept new work, sorted by address. Includes this host unless it is leaving.
     pub fn usable_hosts(&self) -> Vec<Host> {
-        let members = self.members.values().chain(std::iter::once(&self.me));
+        let members = self.members.values().chain(std::iter::once(&self.local));
         let usable = members.filter(|member| member.is_usable());
         let mut hosts: Vec<Host> = usable.map(|member| member.host.clone()).collect();
         hosts.sort();
         hosts
     }
 
-    /// All other hosts that are remembered.
+    /// Returns all other hosts in the table.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Addresses of other hosts that answer, leaving ones too.
+    /// Returns the addresses of the other hosts that answer, including leaving ones.
     pub fn usable_peers(&self) -> Vec<Name> {
         let answering = self.members.iter().filter(|(_, member)| {
             matches!(member.status, MemberStatus::Alive | MemberStatus::Leaving)
@@ -268,27 +275,31 @@
         answering.map(|(address, _)| address.clone()).collect()
     }
 
-    /// Whether this host hears more than half of the hosts it remembers, itself counted.
+    /// Whether more than half of all known hosts answer, this host included.
     ///
-    /// Two sides of a cut can't both: so the side that takes over shards (it needs this) and the side
-    /// whose host goes on without the table (it needs this too) always share a host that hears both.
+    /// The two sides of a network partition cannot both have a majority. A host needs one to take over
+    /// shards, and it needs one to continue while the shared store is unreachable. As any two majorities
+    /// overlap, a host that takes over a shard and a host that keeps using it always have a host in
+    /// common that both can reach.
     pub fn has_majority(&self) -> bool {
-        let heard = self.usable_peers().len() + 1;
-        let remembered = self.members.len() + self.strangers().count() + 1;
-        heard * 2 > remembered
+        let answering = self.usable_peers().len() + 1;
+        let known = self.members.len() + self.unidentified_addresses().count() + 1;
+        answering * 2 > known
     }
 
-    /// Whether a run surely ended: its address speaks as a later run, or it has been dead for all
-    /// who can be heard and gone from the platform's list for longer than the list's lag.
+    /// Whether a run has certainly ended: a later run uses its address, or it has been dead and missing
+    /// from the platform's list for longer than the list's lag, and this host has a majority. A run that
+    /// is not in the table counts as ended if it is missing from a current list, this host has been
+    /// running for more than twice the lag, and it has a majority.
     ///
-    /// On any doubt the answer is no. A paused or cut-off run would go on spending what another one
-    /// takes over; one would notice a team above its rate.
+    /// In all other cases the result is `false`. A paused or cut-off run may resume and keep spending
+    /// the tokens that another host has taken over; the team would then exceed its rate.
     pub fn is_surely_dead(&self, id: &HostId, now: Instant) -> bool {
-        if *id == self.me.host.id {
+        if *id == self.local.host.id {
             return false;
         }
-        if id.address == self.me.host.id.address {
-            return id.incarnation < self.me.host.id.incarnation;
+        if id.address == self.local.host.id.address {
+            return id.incarnation < self.local.host.id.incarnation;
         }
         let lag = self.policy.list_lag;
         let long_ago = |at: Instant| now.saturating_duration_since(at) > lag;
@@ -302,18 +313,20 @@
             }
             None => {
                 let listed = self.is_listed(&id.address);
-                let read = self.list_read_at.is_some_and(|at| !long_ago(at));
+                let is_list_current = self.list_read_at.is_some_and(|at| !long_ago(at));
                 let waited = now.saturating_duration_since(self.started_at) > lag * 2;
-                !listed && read && waited && self.has_majority()
+                !listed && is_list_current && waited && self.has_majority()
             }
         }
     }
 
-    /// Whether a run has not answered for `gone`, surely dead or not: enough to take over work that
-    /// is fenced, never enough to spend its tokens.
-    pub fn is_gone(&self, id: &HostId, gone: Duration, now: Instant) -> bool {
-        if id.address == self.me.host.id.address {
-            return id.incarnation != self.me.host.id.incarnation;
+    /// Whether a run has ended or has been dead for longer than `timeout`, even if it is not certain that
+    /// it ended. A run that is not in the table counts as dead once this host has been running for longer
+    /// than `timeout` plus the list's lag. The result is enough to take over fenced work, but not to spend
+    /// the run's tokens.
+    pub fn is_gone(&self, id: &HostId, timeout: Duration, now: Instant) -> bool {
+        if id.address == self.local.host.id.address {
+            return id.incarnation != self.local.host.id.incarnation;
         }
         match self.members.get(&*id.address) {
             Some(member) if member.host.id.incarnation != id.incarnation => {
@@ -321,40 +334,44 @@
             }
             Some(member) => {
                 member.status == MemberStatus::Dead
-                    && now.saturating_duration_since(member.since) > gone
+                    && now.saturating_duration_since(member.since) > timeout
             }
-            None => now.saturating_duration_since(self.started_at) > gone + self.policy.list_lag,
+            None => now.saturating_duration_since(self.started_at) > timeout + self.policy.list_lag,
         }
     }
 
+    /// Returns the addresses to probe in the next round.
     fn addresses_to_probe(&self) -> Vec<Name> {
         let known = self.members.iter().filter(|(_, member)| {
-            // The dead are still probed while they are listed: a cut heals without a restart.
+            // Dead hosts are probed while they are listed: after a network partition heals, they rejoin
+            // without a restart.
             member.status != MemberStatus::Dead || member.unlisted_since.is_none()
         });
-        known.map(|(address, _)| address).chain(self.strangers()).cloned().collect()
+        known.map(|(address, _)| address).chain(self.unidentified_addresses()).cloned().collect()
     }
 
+    /// Records the state of another host if it is newer than the recorded one.
     fn merge(&mut self, state: &HostState, now: Instant) {
-        if state.address.is_empty() || state.address == *self.me.host.id.address {
+        if state.address.is_empty() || state.address == *self.local.host.id.address {
             return;
         }
-        let mut news = Member::from_state(state, now);
-        let address = news.host.id.address.clone();
+        let mut update = Member::from_state(state, now);
+        let address = update.host.id.address.clone();
         if let Some(known) = self.members.get(&*address) {
-            if !known.is_older_than(&news) {
+            if !known.is_older_than(&update) {
                 return;
             }
-            news.unlisted_since = known.unlisted_since;
-            news.listed_leaving = known.listed_leaving;
+            update.unlisted_since = known.unlisted_since;
+            update.listed_leaving = known.listed_leaving;
         } else if self.is_listed(&address) {
-            news.unlisted_since = None;
+            update.unlisted_since = None;
         }
-        self.members.insert(address.clone(), news);
-        self.spread(address);
+        self.members.insert(address.clone(), update);
+        self.enqueue_update(address);
     }
 
-    fn suspect(&mut self, address: &str, now: Instant) -> bool {
+    /// Marks an alive or leaving host as suspect. Returns whether its status changed.
+    fn mark_suspect(&mut self, address: &str, now: Instant) -> bool {
         let Some(member) = self.members.get_mut(address) else {
             return false;
         };
@@ -363,22 +380,24 @@
         }
         member.status = MemberStatus::Suspect;
         member.since = now;
-        self.spread(address.into());
+        self.enqueue_update(address.into());
         true
     }
 
-    /// Answers news that this host is suspect or dead by a statement with a higher number.
-    fn contradict(&mut self, state: &HostState, now: Instant) {
-        let mine = &mut self.me;
-        let about_me = state.incarnation == mine.host.id.incarnation;
-        let wrong = MemberStatus::from_wire(state.status()) != mine.status;
-        if about_me && wrong && state.sequence >= mine.sequence {
-            mine.sequence = state.sequence + 1;
-            mine.since = now;
+    /// Refutes a received state that contains a wrong status of this host: raises this host's sequence
+    /// number above that of the state, so that its own state wins.
+    fn refute(&mut self, state: &HostState, now: Instant) {
+        let local = &mut self.local;
+        let is_this_run = state.incarnation == local.host.id.incarnation;
+        let is_wrong = MemberStatus::from_wire(state.status()) != local.status;
+        if is_this_run && is_wrong && state.sequence >= local.sequence {
+            local.sequence = state.sequence + 1;
+            local.since = now;
         }
     }
 
-    fn bury_suspects(&mut self, now: Instant) {
+    /// Changes suspect hosts to dead when the suspicion timeout has passed.
+    fn declare_suspects_dead(&mut self, now: Instant) {
         let limit = self.policy.suspicion;
         let mut dead = Vec::new();
         for (address, member) in self.members.iter_mut() {
@@ -390,11 +409,12 @@
             }
         }
         for address in dead {
-            self.spread(address);
+            self.enqueue_update(address);
         }
     }
 
-    fn forget_gone(&mut self, now: Instant) {
+    /// Removes hosts that have been dead and unlisted for longer than `forget_after`.
+    fn remove_dead_members(&mut self, now: Instant) {
         let limit = self.policy.forget_after;
         let long_ago = |at: Instant| now.saturating_duration_since(at) > limit;
         self.members.retain(|_, member| {
@@ -403,9 +423,10 @@
         });
     }
 
-    fn spread(&mut self, address: Name) {
+    /// Queues the state of a host to be sent to others.
+    fn enqueue_update(&mut self, address: Name) {
         let hosts = self.members.len() as u32 + 1;
-        let remaining = SPREAD_FACTOR * (hosts.ilog2() + 1);
+        let remaining = RETRANSMIT_FACTOR * (hosts.ilog2() + 1);
         self.updates.retain(|update| update.address != address);
         self.updates.push(PendingUpdate { address, remaining });
     }
--- a/crates/cuminramp-membership/src/table/tests.rs
+++ b/crates/cuminramp-membership/src/table/tests.rs
@@ -25,8 +25,8 @@
         .collect()
 }
 
-/// Tables of `count` hosts that know each other.
-fn acquainted(count: u32, now: Instant) -> Vec<MemberTable> {
+/// Creates tables of `count` hosts, each of which contains all the others.
+fn connected_tables(count: u32, now: Instant) -> Vec<MemberTable> {
     let mut tables: Vec<MemberTable> = (0..count).map(|number| table(number, now)).collect();
     let states: Vec<_> = tables.iter().map(MemberTable::my_state).collect();
     for table in &mut tables {
@@ -38,7 +38,7 @@
     tables
 }
 
-/// Runs one step of every table over a network where `reaches(from, to)` says what arrives.
+/// Runs one step of every table over a network in which a message arrives if `reaches(from, to)`.
 fn step(
     tables: &mut [MemberTable],
     random: &mut SeededRandom,
@@ -71,10 +71,12 @@
     }
 }
 
+/// Returns the index of the table of the host at `address`.
 fn index_of(tables: &[MemberTable], address: &str) -> usize {
     tables.iter().position(|table| *table.me().id.address == *address).unwrap()
 }
 
+/// Sends a probe and its answer. Returns whether both arrived.
 fn exchange(
     tables: &mut [MemberTable],
     from: usize,
@@ -94,6 +96,8 @@
     true
 }
 
+/// Delivers one message with the sender's state and updates. `about` is the receiver's address if the
+/// message includes the state that the sender records for it.
 fn deliver(tables: &mut [MemberTable], from: usize, to: usize, about: Option<&str>, now: Instant) {
     let state = tables[from].my_state();
     let updates = tables[from].take_updates(about);
@@ -103,11 +107,11 @@
     tables[to].on_message(&state, now);
 }
 
-// A host is killed. Callers who are sent to it hang until they give up.
+// A host is killed. Callers that are steered to it wait until their requests time out.
 #[test]
-fn a_silent_host_leaves_the_answers_of_all_within_two_seconds() {
+fn a_silent_host_is_unusable_on_all_hosts_within_two_seconds() {
     let start = Instant::now();
-    let mut tables = acquainted(11, start);
+    let mut tables = connected_tables(11, start);
     let mut random = SeededRandom::new(1);
     let dead = |from: usize, to: usize| from != 0 && to != 0;
 
@@ -118,12 +122,12 @@
     assert!(tables[1..].iter().all(|table| table.usable_hosts().len() == 10));
 }
 
-// One link between two live hosts is cut, in one direction or both. If that counted as death,
-// a host that serves would vanish from the answers.
+// A link between two live hosts fails in one or both directions. If the hosts were declared dead for it,
+// callers would no longer be steered to hosts that still serve.
 #[test]
-fn a_cut_link_between_two_hosts_is_not_a_death() {
+fn a_failed_link_between_two_hosts_does_not_make_them_dead() {
     let start = Instant::now();
-    let mut tables = acquainted(11, start);
+    let mut tables = connected_tables(11, start);
     let mut random = SeededRandom::new(2);
     let cut = |from: usize, to: usize| !matches!((from, to), (0, 1) | (2, 3) | (3, 2));
 
@@ -137,11 +141,11 @@
     assert!(!dead);
 }
 
-// A host is paused for longer than any time-out and wakes: others hold it for dead.
+// A host is paused for longer than every timeout and resumes. The others have declared it dead.
 #[test]
-fn a_host_that_wakes_is_used_again() {
+fn a_paused_host_is_usable_again_after_it_resumes() {
     let start = Instant::now();
-    let mut tables = acquainted(11, start);
+    let mut tables = connected_tables(11, start);
     let mut random = SeededRandom::new(3);
     let paused = |from: usize, to: usize| from != 0 && to != 0;
     for tick in 1..=40 {
@@ -155,12 +159,12 @@
     assert!(tables.iter().all(|table| table.usable_hosts().len() == 11));
 }
 
-// A paused host is held for dead and the platform still lists it. Were its shards taken over,
-// it would spend them too once it wakes.
+// A paused host is declared dead while the platform still lists it. If its shards were taken over, their
+// tokens would be spent twice once the host resumes.
 #[test]
-fn a_listed_host_is_never_surely_dead() {
+fn a_listed_host_is_never_certainly_dead() {
     let start = Instant::now();
-    let mut table = acquainted(3, start).remove(0);
+    let mut table = connected_tables(3, start).remove(0);
     let id = host(1, 1).id;
     table.on_unreachable(&id.address, start);
     table.tick(&mut SeededRandom::new(4), start + 4 * SECOND);
@@ -175,9 +179,9 @@
 }
 
 #[test]
-fn a_later_run_at_the_same_address_proves_the_end_of_the_earlier() {
+fn a_later_run_at_the_same_address_proves_that_the_earlier_one_ended() {
     let start = Instant::now();
-    let mut table = acquainted(3, start).remove(0);
+    let mut table = connected_tables(3, start).remove(0);
     let restarted = MemberTable::new(host(1, 2), MemberPolicy::default(), start);
 
     table.on_message(&restarted.my_state(), start);
@@ -186,12 +190,12 @@
     assert!(!table.is_surely_dead(&host(1, 2).id, start));
 }
 
-// An availability zone is cut off. If both sides held the other for dead and took over its
-// shards, every token would be spent twice.
+// An availability zone is cut off. If each side declared the other dead and took over its shards, every
+// token would be spent twice.
 #[test]
-fn only_the_larger_side_of_a_cut_hears_a_majority() {
+fn only_the_larger_side_of_a_partition_has_a_majority() {
     let start = Instant::now();
-    let mut tables = acquainted(11, start);
+    let mut tables = connected_tables(11, start);
     let mut random = SeededRandom::new(5);
     let cut = |from: usize, to: usize| (from < 4) == (to < 4);
 
@@ -204,9 +208,9 @@
 }
 
 #[test]
-fn a_leaving_host_is_used_no_more_and_still_answers() {
+fn a_leaving_host_gets_no_new_work_and_still_answers() {
     let start = Instant::now();
-    let mut tables = acquainted(3, start);
+    let mut tables = connected_tables(3, start);
     tables[0].leave(start);
 
     let state = tables[0].my_state();
@@ -216,12 +220,12 @@
     assert_eq!(tables[1].usable_peers().len(), 2);
 }
 
-// The platform is about to take a host away, and the host does not know. Callers who are sent to
-// it would be cut off.
+// The platform is about to remove a host without notifying it. Callers steered to it would lose their
+// connections.
 #[test]
-fn a_host_that_the_platform_takes_away_is_used_no_more() {
+fn a_host_that_the_platform_is_removing_gets_no_new_work() {
     let start = Instant::now();
-    let mut tables = acquainted(3, start);
+    let mut tables = connected_tables(3, start);
     let mut hosts = listed(0..3);
     hosts[2].leaving = true;
 
