--- a/crates/cuminramp-membership/src/member.rs
+++ b/crates/cuminramp-membership/src/member.rs
@@ -1,24 +1,25 @@
-//! What is known of one host.
+//! Status of one host and its form on the wire.
 
 use cuminramp_core::{Host, HostId, Name};
 use cuminramp_wire::peer::{HostState, Status};
 use tokio::time::Instant;
 
-/// How a host seems to be.
+/// Status of a host, as far as other hosts can tell.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MemberStatus {
-    /// It answers.
+    /// The host answers probes.
     Alive,
-    /// It answers and takes no new work.
+    /// The host answers probes and accepts no new work.
     Leaving,
-    /// It does not answer, and has not had time to contradict.
+    /// The host did not answer and may still refute this before the suspicion timeout.
     Suspect,
-    /// It did not contradict.
+    /// The host did not refute the suspicion in time.
     Dead,
 }
 
 impl MemberStatus {
-    /// Of two statements with one sequence number the later in this order wins.
+    /// Returns the precedence of the status: of two states with the same sequence number, the one with
+    /// the higher rank wins.
     fn rank(self) -> u8 {
         match self {
             MemberStatus::Alive => 0,
@@ -28,7 +29,7 @@
         }
     }
 
-    /// As it travels.
+    /// Converts the status to its wire type.
     pub fn to_wire(self) -> Status {
         match self {
             MemberStatus::Alive => Status::Alive,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// As it came.
+    /// Converts a status from its wire type.
     pub fn from_wire(status: Status) -> Self {
         match status {
             Status::Alive => MemberStatus::Alive,
@@ -49,25 +50,26 @@
     }
 }
 
-/// A host as another one knows it.
+/// A host and its status, as recorded by another host.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The run, its addresses and zone.
+    /// The host's run, addresses and zone.
     pub host: Host,
-    /// How it seems to be.
+    /// Current status.
     pub status: MemberStatus,
-    /// The host's own count of its statements.
+    /// Version of the host's state. Only the host itself increments it.
     pub sequence: u64,
-    /// Since when it has this status.
+    /// Time at which this state was recorded or last changed.
     pub since: Instant,
-    /// Since when the platform's list lacks it; `None` while it is listed.
+    /// Time since which the host is missing from the platform's list; `None` while it is listed.
     pub unlisted_since: Option<Instant>,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform's list marks the host as about to be removed.
     pub listed_leaving: bool,
 }
 
 impl Member {
-    /// Reads a statement.
+    /// Creates a member from a received state. It counts as unlisted until the caller sets the fields
+    /// that come from the platform's list.
     pub(crate) fn from_state(state: &HostState, now: Instant) -> Self {
         let address = Name::from(state.address.as_str());
         Member {
@@ -84,12 +86,12 @@
         }
     }
 
-    /// Whether it takes new work.
+    /// Whether the host accepts new work.
     pub fn is_usable(&self) -> bool {
         self.status == MemberStatus::Alive && !self.listed_leaving
     }
 
-    /// The statement to pass on.
+    /// Returns the state to send to other hosts.
     pub(crate) fn to_state(&self) -> HostState {
         HostState {
             address: self.host.id.address.to_string(),
@@ -101,8 +103,8 @@
         }
     }
 
-    /// Whether `other` is a newer statement: of a later run, or a later one of the same run, or a
-    /// stronger one of the same number.
+    /// Whether `other` is newer: it has a later incarnation, or a higher sequence number of the same
+    /// incarnation, or a status of higher rank with the same sequence number.
     pub(crate) fn is_older_than(&self, other: &Member) -> bool {
         let order =
             |member: &Member| (member.host.id.incarnation, member.sequence, member.status.rank());
--- a/crates/cuminramp-membership/src/steering.rs
+++ b/crates/cuminramp-membership/src/steering.rs
@@ -1,34 +1,34 @@
-//! Which hosts a team's callers should use.
+//! Chooses the hosts that a team's callers should use.
 
 use std::time::Duration;
 
 use cuminramp_core::{Host, HostId, rank_by_score};
 
-/// What a caller learns.
+/// Hosts that a caller should use, and for how long.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SteeringAnswer {
     /// Hosts to use, best first.
     pub hosts: Vec<Host>,
-    /// How long the answer may be kept.
+    /// Time for which the caller may cache the answer.
     pub keep: Duration,
 }
 
-/// Names hosts for a team.
+/// Chooses hosts for the callers of a team.
 #[derive(Clone, Debug)]
 pub struct SteeringPlanner {
-    /// How many hosts an answer names.
+    /// Maximum number of hosts in an answer.
     pub homes: usize,
-    /// How long an answer may be kept.
+    /// Time for which a caller may cache an answer.
     pub keep: Duration,
 }
 
 impl SteeringPlanner {
-    /// The hosts for a caller of `team` in `zone`.
+    /// Returns the hosts for a caller of `team` in `zone`, best first.
     ///
-    /// First come the live owners of the team's shards, where its tokens are and, since they see
-    /// its requests, its prefixes are known; those in the caller's zone before the others. Then come
-    /// other live hosts in the order that the team's name draws them, so that answers hardly change
-    /// when a host comes or goes.
+    /// Usable owners of the team's shards come first: they hold its tokens and, as they receive its
+    /// requests, know its prompt prefixes. The other usable hosts follow. In both groups, hosts in the
+    /// caller's zone come first, and then the rendezvous score of the team's name decides the order, so
+    /// that answers change little when a host is added or removed.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/cuminramp-membership/src/steering/tests.rs
+++ b/crates/cuminramp-membership/src/steering/tests.rs
@@ -16,8 +16,8 @@
     SteeringPlanner { homes: 3, keep: Duration::from_secs(30) }
 }
 
-// Many hosts are replaced each day. If each replacement sent most teams elsewhere, their caches
-// would be cold all day.
+// Many hosts are replaced each day. If each replacement moved most teams to other hosts, their caches
+// would stay cold.
 #[test]
 fn a_lost_host_moves_only_the_teams_that_used_it() {
     let all: Vec<Host> = (0..11).map(host).collect();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn owners_come_first_and_the_nearest_of_them_leads() {
+fn owners_come_first_and_those_in_the_callers_zone_lead() {
     let all: Vec<Host> = (0..11).map(host).collect();
     let owners = [all[4].id.clone(), all[5].id.clone(), all[6].id.clone()];
 
