--- a/crates/cuminramp-daemon/src/marks.rs
+++ b/crates/cuminramp-daemon/src/marks.rs
@@ -1,4 +1,4 @@
-//! Start marks: proof in the table that a request which may not be repeated was begun.
+//! Start marks: rows in the table which prove that a request that may not be repeated was started.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,50 +13,52 @@
 
 use crate::state::DaemonState;
 
-/// Marks that wait to be written; more are refused.
-const MOST_WAITING: usize = 10_000;
-/// How often a write whose answer was lost is read back.
-const SETTLE_TRIES: u32 = 8;
-/// Waits between those tries.
-const SETTLE_PAUSE: Duration = Duration::from_millis(250);
-/// How often the end of a request is written again while the table is away.
-const FINISH_TRIES: u32 = 240;
-/// Waits between those tries.
-const FINISH_PAUSE: Duration = Duration::from_millis(500);
-/// Ends of requests are written so many times more seldom than marks: only a resend waits for them.
-const END_PACE: u32 = 4;
-/// When a caller may ask again for an answer that is not known yet.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
+/// Maximum number of marks that wait to be written; requests that exceed it are refused.
+const MAX_WAITING_MARKS: usize = 10_000;
+/// Maximum number of attempts to read marks back after a conflict or a write with unknown outcome.
+const MAX_READ_BACK_ATTEMPTS: u32 = 8;
+/// Delay between attempts to read marks back.
+const READ_BACK_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Maximum number of attempts to write the ends of requests while the table is unavailable.
+const MAX_END_WRITE_ATTEMPTS: u32 = 240;
+/// Delay between attempts to write the ends of requests.
+const END_WRITE_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Minimum interval between writes of ends, as a multiple of the interval between writes of marks.
+/// Ends can be written less often, because only a resend of the request waits for them.
+const END_INTERVAL_FACTOR: u32 = 4;
+/// Retry-After of a refusal because the mark can't be written or the earlier request has not ended yet.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A mark to write.
+/// A mark that waits to be written.
 struct PendingMark {
     key: String,
     row: MarkRow,
-    /// The version the row must have; 0: it must not be there.
+    /// Version that the row must have; 0 if the row must not exist.
     version: Version,
-    done: oneshot::Sender<MarkOutcome>,
+    result: oneshot::Sender<MarkOutcome>,
 }
 
-/// What became of it.
+/// Result of writing a mark.
 enum MarkOutcome {
-    /// It is written, at this version: the request may run.
+    /// The mark is written at this version: the request may run.
     Written(Version),
-    /// Another one stands there.
+    /// The row holds the mark of another writer.
     Exists(Row),
-    /// The table can't be asked, and the request must not run.
+    /// It is not known that the mark was written, so the request must not run.
     Unavailable(String),
 }
 
-/// The end of a marked request, to write.
+/// The end of a marked request that waits to be written.
 struct PendingEnd {
     key: String,
     row: MarkRow,
-    /// The version of the mark. A late copy of "not run" must not undo the mark of another host that
-    /// took the request over meanwhile: a third one would run it again.
+    /// Version that the mark was written at. Without this condition, a delayed write of "not run" could
+    /// overwrite the mark of another host that started the request meanwhile, and a third host would
+    /// run the request again.
     version: Version,
 }
 
-/// Gathers marks into few writes.
+/// Groups marks and ends of requests, so that many of them share one write.
 pub(crate) struct MarkWriter {
     marks: mpsc::Sender<PendingMark>,
     ends: mpsc::UnboundedSender<PendingEnd>,
@@ -68,39 +70,39 @@
     ends: mpsc::UnboundedReceiver<PendingEnd>,
 }
 
-/// A request that was begun; its end is written when it is known.
+/// The mark of a request that was started. [`MarkWriter::finish`] consumes it when the request ends.
 pub(crate) struct StartedMark {
     key: String,
     row: MarkRow,
     version: Version,
 }
 
-/// What a resend of a request gets.
+/// What happens to a request with an idempotency key.
 pub(crate) enum MarkDecision {
-    /// It is the first: run it.
+    /// No request with this key has run, so this one runs.
     Run(StartedMark),
-    /// It ran before: this was its answer.
+    /// The request ran before; the row holds its answer.
     Answered(MarkRow),
 }
 
 impl MarkWriter {
     pub(crate) fn new() -> Self {
-        let (marks, mark_receiver) = mpsc::channel(MOST_WAITING);
+        let (marks, mark_receiver) = mpsc::channel(MAX_WAITING_MARKS);
         let (ends, end_receiver) = mpsc::unbounded_channel();
         let receivers = MarkReceivers { marks: mark_receiver, ends: end_receiver };
         MarkWriter { marks, ends, receivers: std::sync::Mutex::new(Some(receivers)) }
     }
 
     async fn write(&self, key: &str, row: &MarkRow, version: u64) -> MarkOutcome {
-        let (done, outcome) = oneshot::channel();
-        let pending = PendingMark { key: key.to_owned(), row: row.clone(), version, done };
+        let (result, outcome) = oneshot::channel();
+        let pending = PendingMark { key: key.to_owned(), row: row.clone(), version, result };
         if self.marks.try_send(pending).is_err() {
-            return MarkOutcome::Unavailable("too many marks wait to be written".into());
+            return MarkOutcome::Unavailable("too many start marks wait to be written".into());
         }
-        outcome.await.unwrap_or_else(|_| MarkOutcome::Unavailable("the daemon stops".into()))
+        outcome.await.unwrap_or_else(|_| MarkOutcome::Unavailable("the daemon is stopping".into()))
     }
 
-    /// Writes how a request ended, in the background.
+    /// Queues a request's end, which is written in the background.
     pub(crate) fn finish(&self, mark: StartedMark, end: MarkEnd) {
         let StartedMark { key, row, version } = mark;
         let row = match end {
@@ -116,24 +118,31 @@
 
 /// How a marked request ended.
 pub(crate) enum MarkEnd {
-    /// With an answer that is kept for a caller who asks again.
+    /// The request ended with an answer, which is stored for a resend.
     Answered {
-        /// Its status.
+        /// HTTP status of the answer.
         status: u32,
-        /// Its type.
+        /// Content type of the answer.
         content_type: String,
-        /// Its body.
+        /// Body of the answer.
         answer: Vec<u8>,
     },
-    /// It ran, or may have; its answer is not kept.
+    /// The request ran or may have run; its answer is not stored.
     Unkept,
-    /// It surely did not run, and may be sent again.
+    /// The request certainly did not run, so a resend may run.
     NotRun,
 }
 
-/// Begins a request that may not be repeated: the mark is in the table before any target sees a byte.
+/// Starts a request that may not be repeated.
 ///
-/// A mark of another run shows that the request was begun before, perhaps through another host.
+/// When this returns [`MarkDecision::Run`], the mark is in the table, and no target has received a byte
+/// of the request yet. A mark by another writer proves that the request was started before, possibly
+/// through another host.
+///
+/// # Errors
+///
+/// Refuses the request if the table is unavailable, if the key was used for a different request, or if
+/// the request was started before and has no stored answer.
 pub(crate) async fn begin_marked(
     state: &DaemonState,
     team: &Name,
@@ -159,69 +168,76 @@
             }
             MarkOutcome::Unavailable(reason) => {
                 let refusal = Refusal::not_run(ResultCode::StoreUnavailable, reason);
-                return Err(refusal.with_retry_after(ASK_AGAIN));
+                return Err(refusal.with_retry_after(RETRY_AFTER));
             }
             MarkOutcome::Exists(found) => {
-                let Ok(known) = decode_row::<MarkRow>(&found.value) else {
-                    return Err(Refusal::not_run(ResultCode::Internal, "the mark can't be read"));
+                let Ok(existing) = decode_row::<MarkRow>(&found.value) else {
+                    return Err(Refusal::not_run(
+                        ResultCode::Internal,
+                        "the start mark can't be decoded",
+                    ));
                 };
-                if known.body_hash != body_hash {
-                    let message = "this Idempotency-Key came before with another request";
+                if existing.body_hash != body_hash {
+                    let message = "this Idempotency-Key was used before with a different request";
                     return Err(Refusal::not_run(ResultCode::FieldInvalid, message));
                 }
-                if !known.not_run {
-                    return decide_resend(known);
+                if !existing.not_run {
+                    return decide_resend(existing);
                 }
-                // The earlier one surely did not run: this one takes its place.
+                // The earlier request certainly did not run, so this mark replaces its mark.
                 version = found.version;
             }
         }
     }
 }
 
-fn decide_resend(known: MarkRow) -> Result<MarkDecision, Refusal> {
-    if known.finished && known.status > 0 {
-        return Ok(MarkDecision::Answered(known));
+/// Decides on a resend of a request that ran or may have run.
+fn decide_resend(existing: MarkRow) -> Result<MarkDecision, Refusal> {
+    if existing.finished && existing.status > 0 {
+        return Ok(MarkDecision::Answered(existing));
     }
-    let (execution, message) = if known.finished {
-        (Execution::Ran, "the request ran before; its answer was not kept")
+    let (execution, message) = if existing.finished {
+        (Execution::Ran, "the request ran before; its answer was not stored")
     } else {
-        (Execution::MayHaveRun, "the request was begun before; its end is not known yet")
+        (Execution::MayHaveRun, "the request was started before; its outcome is not known yet")
     };
     let refusal = Refusal::not_run(ResultCode::AlreadyStarted, message).with_execution(execution);
-    Err(if known.finished { refusal } else { refusal.with_retry_after(ASK_AGAIN) })
+    Err(if existing.finished { refusal } else { refusal.with_retry_after(RETRY_AFTER) })
 }
 
 /// Writes marks and ends until the daemon stops.
 ///
-/// A mark that comes alone is written at once. Under load writes keep a distance, and what comes
-/// meanwhile goes into the next: the table takes only so many writes a second from all hosts.
+/// A mark that arrives after a pause is written at once. Under load, writes are spaced by a minimum
+/// interval and marks that arrive in between share the next write, because the table accepts only a
+/// limited number of writes per second from all hosts together.
 pub(crate) async fn run_marks(state: Arc<DaemonState>) {
     let receivers = crate::state::lock(&state.marks.receivers).take();
     let Some(MarkReceivers { marks, ends }) = receivers else { return };
     tokio::join!(gather_marks(&state, marks), gather_ends(&state, ends));
 }
 
+/// Writes marks in groups. A group is limited in size and holds what has arrived when its write starts.
 async fn gather_marks(state: &Arc<DaemonState>, mut marks: mpsc::Receiver<PendingMark>) {
-    let mut pace = GroupPace::new(state.settings.marks.group());
+    let mut throttle = WriteThrottle::new(state.settings.marks.group());
     while let Some(first) = marks.recv().await {
-        pace.wait().await;
+        throttle.wait().await;
         let mut group = vec![first];
         while group.len() < state.settings.marks.group_size
             && let Ok(mark) = marks.try_recv()
         {
             group.push(mark);
         }
-        // One write at a time would let a slow table hold all marks back behind it.
+        // Spawned: with one write at a time, a slow table would delay all later marks.
         let state = state.clone();
         tokio::spawn(async move { write_group(&state, group).await });
     }
 }
 
+/// Writes ends of requests in groups, as [`gather_marks`] does for marks, at a longer interval.
 async fn gather_ends(state: &Arc<DaemonState>, mut ends: mpsc::UnboundedReceiver<PendingEnd>) {
-    let mut pace = GroupPace::new(state.settings.marks.group() * END_PACE);
+    let mut throttle = WriteThrottle::new(state.settings.marks.group() * END_INTERVAL_FACTOR);
     while let Some(first) = ends.recv().await {
-        pace.wait().await;
+        throttle.wait().await;
         let mut group = vec![first];
         while group.len() < state.settings.marks.group_size
             && let Ok(end) = ends.try_recv()
@@ -233,27 +249,28 @@
     }
 }
 
-/// Keeps a distance between writes.
-struct GroupPace {
-    distance: Duration,
-    last: Option<Instant>,
+/// Enforces a minimum interval between writes.
+struct WriteThrottle {
+    interval: Duration,
+    last_write: Option<Instant>,
 }
 
-impl GroupPace {
-    fn new(distance: Duration) -> Self {
-        GroupPace { distance, last: None }
+impl WriteThrottle {
+    fn new(interval: Duration) -> Self {
+        WriteThrottle { interval, last_write: None }
     }
 
-    /// Returns once the distance to the last write is kept.
+    /// Waits until the interval since the last write has passed, then counts the next write as made now.
     async fn wait(&mut self) {
-        if let Some(last) = self.last {
-            tokio::time::sleep_until(last + self.distance).await;
+        if let Some(last_write) = self.last_write {
+            tokio::time::sleep_until(last_write + self.interval).await;
         }
-        self.last = Some(Instant::now());
+        self.last_write = Some(Instant::now());
     }
 }
 
-/// Writes a group in one transaction; what meets a conflict is answered and the rest written again.
+/// Writes a group of marks in one transaction. After a conflict, the marks concerned are read back and
+/// the others are written again.
 async fn write_group(state: &DaemonState, mut group: Vec<PendingMark>) {
     while !group.is_empty() {
         let transaction = group.iter().fold(Transaction::default(), |transaction, mark| {
@@ -262,62 +279,70 @@
         match state.platform.table.commit(transaction).await {
             Ok(CommitOutcome::Committed(version)) => {
                 log::info!(marks = group.len() as u64; "marks-written");
-                return answer_all(group, || MarkOutcome::Written(version));
+                return send_all(group, || MarkOutcome::Written(version));
             }
             Ok(CommitOutcome::Conflict(keys)) => {
-                let (lost, rest) = group.into_iter().partition(|mark| keys.contains(&mark.key));
+                let (conflicting, rest) =
+                    group.into_iter().partition(|mark| keys.contains(&mark.key));
                 group = rest;
-                settle_marks(state, lost).await;
+                read_back_marks(state, conflicting).await;
             }
             Err(StoreError::Unavailable(reason)) => {
-                return answer_all(group, || MarkOutcome::Unavailable(reason.clone()));
+                return send_all(group, || MarkOutcome::Unavailable(reason.clone()));
             }
-            Err(StoreError::Unknown(_)) => return settle_marks(state, group).await,
+            Err(StoreError::Unknown(_)) => return read_back_marks(state, group).await,
         }
     }
 }
 
-fn answer_all(group: Vec<PendingMark>, outcome: impl Fn() -> MarkOutcome) {
+/// Sends the same result to all requests of a group.
+fn send_all(group: Vec<PendingMark>, outcome: impl Fn() -> MarkOutcome) {
     for mark in group {
-        let _ = mark.done.send(outcome());
+        let _ = mark.result.send(outcome());
     }
 }
 
-/// Reads back what stands in the table: a mark holds its writer's own word, so that a write whose
-/// answer was lost is distinguished from one by another host.
-async fn settle_marks(state: &DaemonState, group: Vec<PendingMark>) {
+/// Reads marks back after a conflict or a write with unknown outcome, and reports the result of each.
+///
+/// A mark holds a token of its writer (`MarkRow::key`), which distinguishes this host's write, if its
+/// answer was lost, from a write by another host.
+async fn read_back_marks(state: &DaemonState, group: Vec<PendingMark>) {
     let keys: Vec<String> = group.iter().map(|mark| mark.key.clone()).collect();
-    for _ in 0..SETTLE_TRIES {
+    for _ in 0..MAX_READ_BACK_ATTEMPTS {
         if let Ok(rows) = state.platform.table.read(&keys).await {
             for (mark, row) in group.into_iter().zip(rows) {
-                let _ = mark.done.send(settled_outcome(&mark.row, row));
+                let _ = mark.result.send(read_back_outcome(&mark.row, row));
             }
             return;
         }
-        tokio::time::sleep(SETTLE_PAUSE).await;
+        tokio::time::sleep(READ_BACK_RETRY_DELAY).await;
     }
-    // Whether the marks stand is unknown, and none of the requests was given to a target.
-    answer_all(group, || MarkOutcome::Unavailable("the table can't be asked".into()));
+    // It is unknown whether the marks are written, but none of the requests was sent to a target.
+    send_all(group, || MarkOutcome::Unavailable("the table is unavailable".into()));
 }
 
-fn settled_outcome(wanted: &MarkRow, row: Option<Row>) -> MarkOutcome {
+/// Returns the result of writing `wanted`, given the row that the table holds now.
+fn read_back_outcome(wanted: &MarkRow, row: Option<Row>) -> MarkOutcome {
     let Some(row) = row else {
-        return MarkOutcome::Unavailable("the table did not take the mark".into());
+        return MarkOutcome::Unavailable("the table does not hold the start mark".into());
     };
     let is_own = decode_row::<MarkRow>(&row.value).is_ok_and(|found| found.key == wanted.key);
     if is_own { MarkOutcome::Written(row.version) } else { MarkOutcome::Exists(row) }
 }
 
+/// Writes the ends of a group of requests in one transaction, and repeats it while the table is
+/// unavailable.
 async fn write_ends(state: &DaemonState, mut ended: Vec<PendingEnd>) {
-    for _ in 0..FINISH_TRIES {
+    for _ in 0..MAX_END_WRITE_ATTEMPTS {
         let transaction = ended.iter().fold(Transaction::default(), |transaction, end| {
             transaction.put_at(end.key.clone(), end.version, encode_row(&end.row))
         });
         match state.platform.table.commit(transaction).await {
             Ok(CommitOutcome::Committed(_)) => return,
-            // Those are written already, by a try whose answer was lost, or taken over.
+            // The conflicting ends were written by an earlier attempt whose answer was lost, or
+            // another host has replaced their marks.
             Ok(CommitOutcome::Conflict(keys)) => ended.retain(|end| !keys.contains(&end.key)),
-            Err(_) => tokio::time::sleep(FINISH_PAUSE).await,
+            Err(_) => tokio::time::sleep(END_WRITE_RETRY_DELAY).await,
         }
         if ended.is_empty() {
             return;
