--- a/crates/cuminramp-daemon/src/admission.rs
+++ b/crates/cuminramp-daemon/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a team may run a request now.
+//! Admission of requests by their team's rate and burst.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 
 use crate::state::{DaemonState, lock};
 
-/// Tokens a request is charged that names no limit of its own.
+/// Tokens charged for a request that sets no token limit.
 const DEFAULT_MAX_TOKENS: u64 = 16;
 
-/// When to come back to hosts that have just started.
-const START_WAIT: Duration = Duration::from_secs(1);
+/// Retry-After of a refusal while no host owns a share of the team's rate.
+const NO_OWNER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What a request of `team` costs.
+/// Returns the cost of a request of `team`.
 pub(crate) fn request_cost(team: &Team, max_tokens: Option<u64>) -> Millitokens {
     match team.charge {
         Charge::Requests => TOKEN,
@@ -27,16 +27,18 @@
     }
 }
 
-/// Admits a request or says why not and when to come back.
+/// Admits a request, or refuses it with the reason and a Retry-After.
+///
+/// If this host has too few tokens for the request, it first tries to borrow them from other hosts.
 pub(crate) async fn admit_request(
     state: &std::sync::Arc<DaemonState>,
     team: &Team,
     cost: Millitokens,
 ) -> Result<(), Refusal> {
     let limits = TeamLimits::from_tokens(team.rate, team.burst);
-    match decide(state, &team.name, limits, cost, false) {
-        Admission::Admitted(ahead) => {
-            if let Some(plan) = ahead {
+    match decide_admission(state, &team.name, limits, cost, false) {
+        Admission::Admitted(advance_plan) => {
+            if let Some(plan) = advance_plan {
                 let (state, name) = (state.clone(), team.name.clone());
                 state.tasks.clone().spawn(async move { borrow(&state, &name, &plan).await });
             }
@@ -45,7 +47,7 @@
         Admission::Refused(wait) => Err(rate_refusal(state, team, wait)),
         Admission::Borrow(plan) => {
             borrow(state, &team.name, &plan).await;
-            match decide(state, &team.name, limits, cost, true) {
+            match decide_admission(state, &team.name, limits, cost, true) {
                 Admission::Admitted(_) => Ok(()),
                 Admission::Refused(wait) => Err(rate_refusal(state, team, wait)),
                 Admission::Borrow(_) => Err(rate_refusal(state, team, Duration::from_secs(1))),
@@ -54,7 +56,7 @@
     }
 }
 
-fn decide(
+fn decide_admission(
     state: &DaemonState,
     team: &Name,
     limits: TeamLimits,
@@ -73,47 +75,50 @@
     log::info!(team = &*team.name, decision = "refused", wait_ms = wait.as_millis() as u64; "rate");
     let limits = TeamLimits::from_tokens(team.rate, team.burst);
     let ledger = lock(&state.ledger);
-    let (doubtful, has_owner) = (ledger.is_unreliable(), ledger.has_owner(&team.name, limits));
+    let (is_unreliable, has_owner) = (ledger.is_unreliable(), ledger.has_owner(&team.name, limits));
     drop(ledger);
     if !has_owner {
         let message =
-            "no host owns a part of the team's rate yet, as when all hosts have just started";
+            "no host owns a share of the team's rate yet, as when all hosts have just started";
         let refusal = Refusal::not_run(ResultCode::ConfigurationUnknown, message);
-        return refusal.with_retry_after(START_WAIT);
+        return refusal.with_retry_after(NO_OWNER_RETRY_AFTER);
     }
-    // A host that doubts what it owns refuses for its own sake, not for the team's.
-    if doubtful {
-        let message = "this host can't tell what is left of the team's rate";
+    // This host can't confirm what it owns and spends nothing. The team may still be below its rate, so
+    // the code must not be RateExceeded.
+    if is_unreliable {
+        let message = "this host can't determine what is left of the team's rate";
         return Refusal::not_run(ResultCode::KeysUnconfirmed, message).with_retry_after(wait);
     }
-    let message = format!("team {} is above its rate of {} a second", team.name, team.rate);
+    let message = format!("team {} is above its rate of {} per second", team.name, team.rate);
     Refusal::not_run(ResultCode::RateExceeded, message).with_retry_after(wait)
 }
 
-/// Asks owners one after the other until the plan's amount is there.
+/// Borrows tokens from the plan's lenders, one after the other, until the amount missing for the
+/// request is there.
 async fn borrow(state: &DaemonState, team: &Name, plan: &BorrowPlan) {
     let mut missing = plan.missing;
     let mut ahead = plan.ahead;
     for lender in &plan.lenders {
-        let Some(got) = ask_lender(state, team, lender, missing + ahead).await else {
+        let Some(lent) = request_loan(state, team, lender, missing + ahead).await else {
             continue;
         };
-        let for_request = got.min(missing);
+        let for_request = lent.min(missing);
         missing -= for_request;
-        ahead = ahead.saturating_sub(got - for_request);
+        ahead = ahead.saturating_sub(lent - for_request);
         if missing == 0 {
             return;
         }
     }
 }
 
-async fn ask_lender(
+/// Requests tokens from one lender and credits them; `None` if the lender did not answer.
+async fn request_loan(
     state: &DaemonState,
     team: &Name,
     lender: &Lender,
     amount: Millitokens,
 ) -> Option<Millitokens> {
-    let asked_at = Instant::now();
+    let requested_at = Instant::now();
     let request = BorrowRequest {
         team: team.to_string(),
         shard: lender.shard,
@@ -137,11 +142,11 @@
         valid: Duration::from_millis(reply.valid_ms.into()),
         wait: Duration::from_millis(reply.wait_ms.into()),
     };
-    lock(&state.ledger).credit(team, lender, answer, asked_at, now);
+    lock(&state.ledger).credit(team, lender, answer, requested_at, now);
     Some(answer.amount)
 }
 
-/// Answers another host that asks for tokens.
+/// Answers another host's request to borrow tokens. Tokens of an unknown team are not lent.
 pub(crate) fn lend_tokens(state: &DaemonState, request: &BorrowRequest) -> BorrowReply {
     let in_force = state.configuration.in_force();
     let Some(team) = in_force.configuration.teams.get(request.team.as_str()) else {
@@ -160,7 +165,7 @@
     }
 }
 
-/// Takes the tokens of a shard that this host owns now.
+/// Applies the handover of a shard's tokens from its previous owner.
 pub(crate) fn take_tokens(state: &DaemonState, handover: &Handover) {
     let in_force = state.configuration.in_force();
     let limits_of = |name: &str| {
