--- a/crates/cuminramp-daemon/src/batch/mod.rs
+++ b/crates/cuminramp-daemon/src/batch/mod.rs
@@ -1,4 +1,9 @@
-//! Works on batch jobs.
+//! Batch jobs on this host.
+//!
+//! - `jobs` creates, lists and cancels jobs for callers and operators;
+//! - `claims` leases chunks of open jobs and closes finished jobs; `held` holds the leased chunks;
+//! - `windows` limits the batch items in each engine; `runner` runs items within those limits;
+//! - `chunks` updates the rows of held chunks; `results` writes and reads results.
 
 mod chunks;
 mod claims;
@@ -16,17 +21,17 @@
 pub(crate) use runner::run_items;
 pub(crate) use windows::BatchState;
 
-/// The object that says where a job's chunks lie in its input.
+/// Name of the object that holds the positions of a job's chunks in its input file.
 fn layout_name(job: &str) -> String {
     format!("jobs/{job}/layout")
 }
 
-/// The object that lists a finished job's results.
+/// Name of the object that lists the results of a finished job.
 fn manifest_name(job: &str) -> String {
     format!("jobs/{job}/manifest")
 }
 
-/// The row by which a team's jobs are listed.
+/// Key of the row that lists a job among its team's jobs.
 fn team_job_key(team: &str, job: &str) -> String {
     format!("team-job/{team}/{job}")
 }
--- a/crates/cuminramp-daemon/src/batch/results.rs
+++ b/crates/cuminramp-daemon/src/batch/results.rs
@@ -11,15 +11,15 @@
 use crate::entry::files::store_refusal;
 use crate::state::DaemonState;
 
-/// What a finished job consists of. It stands in the object store, so that results can be read while
-/// the table is down.
+/// The segments that hold a finished job's results. It is stored in the object store, so that results
+/// can be read while the table is unavailable.
 #[derive(Debug, Deserialize, Serialize)]
 struct JobManifest {
     team: String,
     segments: Vec<SegmentEntry>,
 }
 
-/// The results of one chunk.
+/// One chunk's results and their counts.
 #[derive(Debug, Deserialize, Serialize)]
 struct SegmentEntry {
     name: String,
@@ -27,19 +27,21 @@
     failed: u32,
 }
 
-/// The name of a chunk's results. It holds the fencing number, so that two hosts that worked on one
-/// chunk never write the same object.
+/// Returns the name of a chunk's results. It contains the lease's fencing number, so that two hosts that
+/// worked on the same chunk never write the same object.
 pub(crate) fn segment_name(job: &str, index: u32, fence: u64) -> String {
     format!("results/{job}/{index:06}-{fence}")
 }
 
-/// The object with a segment's output or errors.
+/// Returns the name of the object with a segment's output (`success`) or errors.
 pub(crate) fn segment_object(segment: &str, success: bool) -> String {
     format!("{segment}.{}", if success { "output" } else { "error" })
 }
 
-/// Lists a job's committed results in one object; a committed chunk never changes, so writing it
-/// again, also by another host, says the same or more.
+/// Writes the manifest, which lists a job's committed results.
+///
+/// The manifest may be written again, also by another host: a committed chunk never changes, so a later
+/// manifest lists at least the same segments.
 pub(crate) async fn write_manifest(state: &DaemonState, row: &JobRow) -> Result<(), StoreError> {
     let chunks = read_chunks(state, &row.id).await?;
     let done = chunks.into_iter().filter(|chunk| chunk.row.state() == ChunkState::Done);
@@ -54,7 +56,8 @@
     state.platform.objects.put(&manifest_name(&row.id), body.into()).await
 }
 
-/// Reads the output or error file of a team's finished job; `None` where `file` names none.
+/// Reads the output or error file of a team's finished job. Returns `None` if `file` is not such a file
+/// of the team.
 pub(crate) async fn read_output(
     state: &DaemonState,
     team: &str,
@@ -71,19 +74,19 @@
     let Some(manifest) = manifest.filter(|manifest| manifest.team == team) else {
         return Ok(None);
     };
-    let mut whole = BytesMut::new();
+    let mut content = BytesMut::new();
     for segment in manifest.segments {
         let count = if success { segment.completed } else { segment.failed };
         if count == 0 {
             continue;
         }
         let object = segment_object(&segment.name, success);
-        let part = objects.get(&object).await.map_err(store_refusal)?;
-        // A committed segment that is missing must not look like a short file.
-        let part = part.ok_or_else(|| {
+        let body = objects.get(&object).await.map_err(store_refusal)?;
+        // Skipping a committed segment that is missing would return an incomplete file as complete.
+        let body = body.ok_or_else(|| {
             store_refusal(StoreError::Unavailable(format!("{object} is missing")))
         })?;
-        whole.extend_from_slice(&part);
+        content.extend_from_slice(&body);
     }
-    Ok(Some(whole.freeze()))
+    Ok(Some(content.freeze()))
 }
