--- a/crates/cuminramp-daemon/src/batch/chunks.rs
+++ b/crates/cuminramp-daemon/src/batch/chunks.rs
@@ -1,4 +1,4 @@
-//! Writes what becomes of a chunk.
+//! Updates the rows of held chunks: commits, crash counts and releases.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,37 +12,38 @@
 use crate::batch::results::{segment_name, segment_object};
 use crate::state::{DaemonState, lock};
 
-/// Waits between tries while the platform is away.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Delay between attempts while the platform is unavailable.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What became of a step of a chunk's row.
+/// Result of an update of a chunk's row.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum StepEnd {
-    /// It is written.
+enum UpdateOutcome {
+    /// The update is written.
     Written,
-    /// The lease is another's, or the job is open no more.
+    /// Another host holds the lease, or the job is no longer open.
     Lost,
-    /// The platform did not take it; it may be tried again.
-    Again,
+    /// The platform did not apply the update, or the outcome is unknown; the update may be retried.
+    Retry,
 }
 
 /// Writes the results of a chunk whose items all have an outcome, and commits them.
 ///
-/// The results are objects under the fencing number; the commit makes them the chunk's results. While
-/// the platform is away it is tried again and again: the items are not run again for that.
+/// The names of the result objects contain the lease's fencing number; the commit makes these objects
+/// the chunk's results. While the platform is unavailable, only the writes are retried: the items are
+/// not run again.
 pub(crate) async fn finish_chunk(state: &Arc<DaemonState>, chunk: &Arc<HeldChunk>) {
     let segment = segment_name(&chunk.job.id, chunk.index, chunk.lease.fence);
     let tally = chunk.tally();
     while !chunk.dropped.is_cancelled() {
         if write_segment(state, chunk, &segment).await.is_err() {
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         }
-        let step = |row: &ChunkRow| commit_chunk(row, &chunk.lease, &segment, tally).ok();
-        match write_step(state, chunk, step).await {
-            StepEnd::Again => tokio::time::sleep(RETRY_PAUSE).await,
+        let commit = |row: &ChunkRow| commit_chunk(row, &chunk.lease, &segment, tally).ok();
+        match update_row(state, chunk, commit).await {
+            UpdateOutcome::Retry => tokio::time::sleep(RETRY_DELAY).await,
             end => {
-                let decision = if end == StepEnd::Written { "committed" } else { "lost" };
+                let decision = if end == UpdateOutcome::Written { "committed" } else { "lost" };
                 log::info!(
                     job = &*chunk.job.id, chunk = chunk.index, fence = chunk.lease.fence,
                     completed = tally.completed, failed = tally.failed, decision = decision;
@@ -70,49 +71,54 @@
     Ok(())
 }
 
-/// Keeps the crashes under items in the row, before any of them runs again.
-pub(crate) async fn keep_suspects(state: &Arc<DaemonState>, chunk: &Arc<HeldChunk>) {
+/// Writes the crash counts of items to the chunk's row, before any of these items runs again.
+///
+/// Without the counts, the chunk's next holder would not run these items alone and would start to count
+/// their crashes anew.
+pub(crate) async fn write_crash_counts(state: &Arc<DaemonState>, chunk: &Arc<HeldChunk>) {
     while !chunk.dropped.is_cancelled() {
-        let suspects = chunk.suspects();
-        let step = |row: &ChunkRow| record_crashes(row, &chunk.lease, &suspects).ok();
-        match write_step(state, chunk, step).await {
-            StepEnd::Written => return,
-            StepEnd::Lost => return drop_chunk(state, chunk),
-            StepEnd::Again => tokio::time::sleep(RETRY_PAUSE).await,
+        let crash_counts = chunk.crash_counts();
+        let record = |row: &ChunkRow| record_crashes(row, &chunk.lease, &crash_counts).ok();
+        match update_row(state, chunk, record).await {
+            UpdateOutcome::Written => return,
+            UpdateOutcome::Lost => return drop_chunk(state, chunk),
+            UpdateOutcome::Retry => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-/// Gives a chunk back undone.
-pub(crate) async fn give_back(state: &Arc<DaemonState>, chunk: &Arc<HeldChunk>) {
+/// Stops work on an unfinished chunk and releases its lease, so that another host can lease it at once.
+pub(crate) async fn release_held_chunk(state: &Arc<DaemonState>, chunk: &Arc<HeldChunk>) {
     drop_chunk(state, chunk);
-    let step = |row: &ChunkRow| release_chunk(row, &chunk.lease).ok();
-    let end = write_step(state, chunk, step).await;
+    let release = |row: &ChunkRow| release_chunk(row, &chunk.lease).ok();
+    let end = update_row(state, chunk, release).await;
     log::info!(
-        job = &*chunk.job.id, chunk = chunk.index, written = end == StepEnd::Written,
+        job = &*chunk.job.id, chunk = chunk.index, written = end == UpdateOutcome::Written,
         decision = "given-back";
         "chunk"
     );
 }
 
-/// Stops work on a chunk.
+/// Stops work on a chunk. Its row stays as it is.
 pub(crate) fn drop_chunk(state: &DaemonState, chunk: &Arc<HeldChunk>) {
     chunk.dropped.cancel();
     lock(&state.batch.held).retain(|held| !Arc::ptr_eq(held, chunk));
-    state.batch.hungry.notify_one();
+    state.batch.claim_wakeup.notify_one();
 }
 
-/// Writes one step of a chunk's row, on the condition that the row is as this host knows it and the
-/// job is still open. A lost answer is settled by reading the row.
-async fn write_step(
+/// Applies `transition` to a chunk's row and writes the result, on the condition that the row is
+/// unchanged since this host last wrote or read it and that the job is still open.
+///
+/// After a conflict or an unknown outcome, the row is read back.
+async fn update_row(
     state: &DaemonState,
     chunk: &HeldChunk,
-    step: impl Fn(&ChunkRow) -> Option<ChunkRow>,
-) -> StepEnd {
+    transition: impl Fn(&ChunkRow) -> Option<ChunkRow>,
+) -> UpdateOutcome {
     let key = chunk_key(&chunk.job.id, chunk.index);
     let mut held = chunk.row.lock().await;
-    let Some(next) = step(&held.row) else {
-        return StepEnd::Lost;
+    let Some(next) = transition(&held.row) else {
+        return UpdateOutcome::Lost;
     };
     let mut transaction =
         Transaction::default().put_at(key.clone(), held.version, encode_row(&next));
@@ -123,38 +129,40 @@
     match state.platform.table.commit(transaction).await {
         Ok(CommitOutcome::Committed(version)) => {
             *held = HeldRow { row: next, version };
-            StepEnd::Written
+            UpdateOutcome::Written
         }
-        Ok(CommitOutcome::Conflict(_)) => reread_row(state, &key, &mut held, &next, true).await,
-        Err(StoreError::Unavailable(_)) => StepEnd::Again,
-        Err(StoreError::Unknown(_)) => reread_row(state, &key, &mut held, &next, false).await,
+        Ok(CommitOutcome::Conflict(_)) => read_back_row(state, &key, &mut held, &next, true).await,
+        Err(StoreError::Unavailable(_)) => UpdateOutcome::Retry,
+        Err(StoreError::Unknown(_)) => read_back_row(state, &key, &mut held, &next, false).await,
     }
 }
 
-/// Finds out where the row stands. After a conflict it is written by this host (an earlier try whose
-/// answer was lost) or the step is lost for good.
-async fn reread_row(
+/// Reads the row back and returns what became of the update that should have written `expected`.
+///
+/// After a conflict, either an earlier attempt of this host whose answer was lost wrote the row, or the
+/// update can no longer succeed. After an unknown outcome, it may be retried under the same lease.
+async fn read_back_row(
     state: &DaemonState,
     key: &str,
     held: &mut HeldRow,
-    wanted: &ChunkRow,
+    expected: &ChunkRow,
     conflicted: bool,
-) -> StepEnd {
+) -> UpdateOutcome {
     let Ok(rows) = state.platform.table.read(&[key.to_owned()]).await else {
-        return StepEnd::Again;
+        return UpdateOutcome::Retry;
     };
     let Some(found) = rows.into_iter().next().flatten() else {
-        return StepEnd::Lost;
+        return UpdateOutcome::Lost;
     };
     let Ok(row) = decode_row::<ChunkRow>(&found.value) else {
-        return StepEnd::Lost;
+        return UpdateOutcome::Lost;
     };
-    if row == *wanted {
+    if row == *expected {
         *held = HeldRow { row, version: found.version };
-        return StepEnd::Written;
+        return UpdateOutcome::Written;
     }
-    if conflicted || row.fence != wanted.fence || row.state() == ChunkState::Done {
-        return StepEnd::Lost;
+    if conflicted || row.fence != expected.fence || row.state() == ChunkState::Done {
+        return UpdateOutcome::Lost;
     }
-    StepEnd::Again
+    UpdateOutcome::Retry
 }
--- a/crates/cuminramp-daemon/src/batch/claims.rs
+++ b/crates/cuminramp-daemon/src/batch/claims.rs
@@ -1,4 +1,4 @@
-//! Finds open jobs, leases their chunks and closes jobs that are done.
+//! Finds open jobs, leases their chunks and closes jobs whose chunks are all done.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,8 +16,8 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::batch::chunks::{drop_chunk, finish_chunk, give_back};
-use crate::batch::held::{HeldChunk, HeldItem, HeldRow, ItemRef, KnownJob};
+use crate::batch::chunks::{drop_chunk, finish_chunk, release_held_chunk};
+use crate::batch::held::{HeldChunk, HeldItem, HeldRow, ItemRef, TrackedJob};
 use crate::batch::jobs::{VersionedChunk, read_chunks};
 use crate::batch::layout_name;
 use crate::batch::results::write_manifest;
@@ -25,81 +25,85 @@
 use crate::entry::files::{file_object, unix_now};
 use crate::state::{DaemonState, lock};
 
-/// Claims follow each other no faster, however hungry this host is.
-const LEAST_PAUSE: Duration = Duration::from_millis(100);
-/// Jobs looked at in one step.
-const OPEN_LIMIT: usize = 1_000;
-/// Jobs whose chunks are read in one step: with thousands open, reading all would take all that the
-/// table gives.
-const JOBS_PER_STEP: usize = 8;
-/// Chunks of one job leased in one write.
-const CLAIMS_PER_JOB: usize = 4;
+/// Minimum delay between two claim rounds, however often the runner asks for more items.
+const MIN_CLAIM_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of open jobs that are listed in one claim round.
+const MAX_OPEN_JOBS: usize = 1_000;
+/// Maximum number of jobs whose chunks are read in one claim round. With thousands of open jobs,
+/// reading the chunks of all of them would use up the table's read capacity.
+const MAX_JOBS_PER_ROUND: usize = 8;
+/// Maximum number of chunks of one job that are leased in one write.
+const MAX_CLAIMS_PER_JOB: usize = 4;
 
-/// Looks for work, again and again.
+/// Runs claim rounds, each after the poll interval or when the runner has too few items, until the
+/// task is stopped.
 pub(crate) async fn run_claims(state: Arc<DaemonState>) {
-    let mut known: Vec<Arc<KnownJob>> = Vec::new();
+    let mut tracked: Vec<Arc<TrackedJob>> = Vec::new();
     let mut picker = JobPicker::new();
     loop {
-        if let Err(error) = step(&state, &mut known, &mut picker).await {
+        if let Err(error) = claim_round(&state, &mut tracked, &mut picker).await {
             log::warn!(reason = error.to_string().as_str(); "claims-wait");
         }
-        tokio::time::sleep(LEAST_PAUSE).await;
+        tokio::time::sleep(MIN_CLAIM_INTERVAL).await;
         let poll = state.settings.batch.poll();
-        let _ = tokio::time::timeout(poll, state.batch.hungry.notified()).await;
+        let _ = tokio::time::timeout(poll, state.batch.claim_wakeup.notified()).await;
     }
 }
 
-async fn step(
+/// Updates the list of open jobs, stops work on closed jobs and leases chunks of the jobs whose turn it
+/// is.
+async fn claim_round(
     state: &Arc<DaemonState>,
-    known: &mut Vec<Arc<KnownJob>>,
+    tracked: &mut Vec<Arc<TrackedJob>>,
     picker: &mut JobPicker,
 ) -> Result<(), StoreError> {
-    read_open_jobs(state, known).await?;
-    state.batch.has_jobs.store(!known.is_empty(), Ordering::Relaxed);
+    read_open_jobs(state, tracked).await?;
+    state.batch.has_open_jobs.store(!tracked.is_empty(), Ordering::Relaxed);
     drop_closed_chunks(state);
-    let open: Vec<OpenJob> = known.iter().map(|job| open_job(state, job)).collect();
+    let open: Vec<OpenJob> = tracked.iter().map(|job| open_job(state, job)).collect();
     let order: Vec<Name> = picker.order(&open).into_iter().map(|job| job.id.clone()).collect();
-    for id in order.into_iter().take(JOBS_PER_STEP) {
-        let Some(job) = known.iter().find(|job| job.id == id) else {
+    for id in order.into_iter().take(MAX_JOBS_PER_ROUND) {
+        let Some(job) = tracked.iter().find(|job| job.id == id) else {
             continue;
         };
-        let room = free_room(state);
-        let items = work_on(state, job, room).await?;
+        let capacity = free_chunk_slots(state);
+        let items = claim_from_job(state, job, capacity).await?;
         if let Some(open) = open.iter().find(|open| open.id == id) {
-            // Looking counts a little, so that jobs without a free chunk don't stand before others.
+            // A job without a free chunk counts as one item, so that it doesn't stay ahead of others.
             picker.note(open, items.max(1));
         }
     }
     Ok(())
 }
 
-fn open_job(state: &DaemonState, job: &KnownJob) -> OpenJob {
+fn open_job(state: &DaemonState, job: &TrackedJob) -> OpenJob {
     let in_force = state.configuration.in_force();
     let weight = in_force.configuration.teams.get(&*job.team).map_or(1, |team| team.weight);
     OpenJob { id: job.id.clone(), team: job.team.clone(), weight }
 }
 
-/// How many more chunks this host may hold.
-fn free_room(state: &DaemonState) -> usize {
+/// Returns how many more chunks this host may lease; none while it is draining or leaving.
+fn free_chunk_slots(state: &DaemonState) -> usize {
     if state.drain.is_cancelled() || lock(&state.members).is_leaving() {
         return 0;
     }
-    let most = state.settings.batch.chunks_per_host;
-    most.saturating_sub(lock(&state.batch.held).len())
+    let max_chunks = state.settings.batch.chunks_per_host;
+    max_chunks.saturating_sub(lock(&state.batch.held).len())
 }
 
-/// Follows the rows that list jobs as open; a job whose row is gone is closed here.
+/// Updates the tracked jobs from the rows that list jobs as open. A job whose row was deleted or
+/// rewritten is no longer tracked, and its `closed` token is cancelled.
 async fn read_open_jobs(
     state: &DaemonState,
-    known: &mut Vec<Arc<KnownJob>>,
+    tracked: &mut Vec<Arc<TrackedJob>>,
 ) -> Result<(), StoreError> {
-    let rows = state.platform.table.scan("open/", "", OPEN_LIMIT).await?;
+    let rows = state.platform.table.scan("open/", "", MAX_OPEN_JOBS).await?;
     state.note_table(Instant::now());
-    let is_open = |job: &KnownJob| {
+    let is_open = |job: &TrackedJob| {
         let key = open_key(&job.id);
         rows.iter().any(|row| row.key == key && row.version == job.open_version)
     };
-    known.retain(|job| {
+    tracked.retain(|job| {
         let open = is_open(job);
         if !open {
             job.closed.cancel();
@@ -107,7 +111,7 @@
         open
     });
     for row in &rows {
-        if known.iter().any(|job| open_key(&job.id) == row.key) {
+        if tracked.iter().any(|job| open_key(&job.id) == row.key) {
             continue;
         }
         let Ok(job_row) = decode_row::<JobRow>(&row.value) else {
@@ -116,7 +120,7 @@
         let Some(layout) = read_layout(state, &job_row.id).await? else {
             continue;
         };
-        known.push(Arc::new(KnownJob {
+        tracked.push(Arc::new(TrackedJob {
             id: job_row.id.as_str().into(),
             team: job_row.team.as_str().into(),
             row: job_row,
@@ -141,12 +145,12 @@
     }
 }
 
-/// Leases up to `room` chunks of a job, or closes it where all are done; returns how many items were
-/// taken on.
-async fn work_on(
+/// Leases up to `capacity` chunks of a job and queues their items, or closes the job if all its chunks
+/// are done. Returns the number of items that the leased chunks have.
+async fn claim_from_job(
     state: &Arc<DaemonState>,
-    job: &Arc<KnownJob>,
-    room: usize,
+    job: &Arc<TrackedJob>,
+    capacity: usize,
 ) -> Result<u32, StoreError> {
     let rows = read_chunks(state, &job.id).await?;
     let done = rows.iter().filter(|chunk| chunk.row.state() == ChunkState::Done).count();
@@ -154,29 +158,31 @@
         close_job(state, job, &rows).await?;
         return Ok(0);
     }
-    if !serves_model(state, &job.row.model) {
+    if !may_claim_for(state, &job.row.model) {
         return Ok(0);
     }
-    let candidates = pick_chunks(state, job, &rows, room.min(CLAIMS_PER_JOB));
+    let candidates = select_chunks(state, job, &rows, capacity.min(MAX_CLAIMS_PER_JOB));
     if candidates.is_empty() {
         return Ok(0);
     }
-    let leased = lease_all(state, job, candidates).await?;
+    let leased = lease_chunks(state, job, candidates).await?;
     let mut items = 0;
     for held in leased {
         let place = job.layout.chunks[held.row.index as usize];
         items += place.items;
-        take_on(state, job, held, place).await?;
+        load_chunk(state, job, held, place).await?;
     }
-    state.batch.work.notify_one();
+    state.batch.runner_wakeup.notify_one();
     Ok(items)
 }
 
-/// Whether this host is steward of an engine that serves the model.
+/// Whether this host may lease chunks of jobs for a model, which it may if it is the batch owner of an
+/// engine that serves the model.
 ///
-/// A host that is steward of none can run next to nothing: chunks that it leased would wait while
-/// engines are idle. A job whose model has no route is taken by anyone, to end with errors.
-fn serves_model(state: &DaemonState, model: &str) -> bool {
+/// A host that is batch owner of no such engine can run almost none of the items: they would wait here
+/// while engines of other hosts are idle. A job whose model has no route may be leased by any host, so
+/// that its items end with errors.
+fn may_claim_for(state: &DaemonState, model: &str) -> bool {
     let in_force = state.configuration.in_force();
     let configuration = &in_force.configuration;
     let route = in_force.planner.plan(configuration, RouteQuery::Model(model));
@@ -186,16 +192,17 @@
     }
 }
 
-/// Chunks that may be leased, in an order of this host's own, so that hosts seldom want the same.
-fn pick_chunks(
+/// Returns up to `max_chunks` chunks that may be leased. Each host tries chunks in a different order, so
+/// that hosts rarely try to lease the same chunk.
+fn select_chunks(
     state: &DaemonState,
-    job: &KnownJob,
+    job: &TrackedJob,
     rows: &[VersionedChunk],
-    most: usize,
+    max_chunks: usize,
 ) -> Vec<VersionedChunk> {
     let now = Instant::now();
-    let after = state.settings.batch.takeover_after();
-    let is_gone = |id: &HostId| lock(&state.members).is_gone(id, after, now);
+    let takeover_delay = state.settings.batch.takeover_after();
+    let is_gone = |id: &HostId| lock(&state.members).is_gone(id, takeover_delay, now);
     let held: Vec<u32> = lock(&state.batch.held)
         .iter()
         .filter(|chunk| chunk.job.id == job.id)
@@ -206,35 +213,37 @@
         if held.contains(&index) {
             continue;
         }
-        let known = rows.iter().find(|chunk| chunk.row.index == index);
-        let fresh = || ChunkRow { job: job.id.to_string(), index, ..ChunkRow::default() };
-        let row = known.map_or_else(fresh, |chunk| chunk.row.clone());
-        // A lease of this very run that it does not hold is one whose write lost its answer.
-        let own =
+        let existing = rows.iter().find(|chunk| chunk.row.index == index);
+        let new_row = || ChunkRow { job: job.id.to_string(), index, ..ChunkRow::default() };
+        let row = existing.map_or_else(new_row, |chunk| chunk.row.clone());
+        // The row may name this process as holder although the chunk is not held here: the lease was
+        // written, but the answer to the write was lost.
+        let is_own =
             row.holder == *state.me.id.address && row.holder_incarnation == state.me.id.incarnation;
         let leased = row.state() == ChunkState::Leased;
-        if is_claimable(&row, is_gone) || (leased && own) {
-            free.push(VersionedChunk { row, version: known.map_or(0, |chunk| chunk.version) });
+        if is_claimable(&row, is_gone) || (leased && is_own) {
+            free.push(VersionedChunk { row, version: existing.map_or(0, |chunk| chunk.version) });
         }
     }
     let me = &*state.me.id.address;
     free.sort_by_cached_key(|chunk| {
         rendezvous_score(me, &format!("{}/{}", job.id, chunk.row.index))
     });
-    free.truncate(most);
+    free.truncate(max_chunks);
     free
 }
 
-/// Leases chunks in one write; where another host was faster with some, the others are tried again.
-async fn lease_all(
+/// Leases chunks in one write. After a conflict, the chunks that another host has leased meanwhile are
+/// left out and the others are tried again.
+async fn lease_chunks(
     state: &DaemonState,
-    job: &KnownJob,
-    mut wanted: Vec<VersionedChunk>,
+    job: &TrackedJob,
+    mut candidates: Vec<VersionedChunk>,
 ) -> Result<Vec<HeldRow>, StoreError> {
-    while !wanted.is_empty() {
+    while !candidates.is_empty() {
         let mut leased = Vec::new();
         let mut transaction = Transaction::default();
-        for chunk in &wanted {
+        for chunk in &candidates {
             let Ok(next) = lease_chunk(&chunk.row, &state.me.id) else {
                 continue;
             };
@@ -247,31 +256,31 @@
                 return Ok(leased.into_iter().map(|row| HeldRow { row, version }).collect());
             }
             CommitOutcome::Conflict(keys) => {
-                wanted.retain(|chunk| !keys.contains(&chunk_key(&job.id, chunk.row.index)));
+                candidates.retain(|chunk| !keys.contains(&chunk_key(&job.id, chunk.row.index)));
             }
         }
     }
     Ok(Vec::new())
 }
 
-/// Reads a leased chunk's items and queues them.
-async fn take_on(
+/// Reads the items of a leased chunk from the input file and queues them.
+async fn load_chunk(
     state: &Arc<DaemonState>,
-    job: &Arc<KnownJob>,
+    job: &Arc<TrackedJob>,
     held: HeldRow,
     place: ChunkPlace,
 ) -> Result<(), StoreError> {
     let object = file_object(&job.team, &job.row.input_file);
-    let part = state.platform.objects.get_range(&object, place.start, place.end).await?;
-    let Some(part) = part else {
+    let body = state.platform.objects.get_range(&object, place.start, place.end).await?;
+    let Some(body) = body else {
         return Err(StoreError::Unavailable(format!("{object} is missing")));
     };
-    let text = String::from_utf8_lossy(&part);
+    let text = String::from_utf8_lossy(&body);
     let mut items: Vec<HeldItem> =
         parse_input(&text, place.first_line as usize).into_iter().map(held_item).collect();
-    for suspect in &held.row.suspects {
-        if let Some(item) = items.get_mut(suspect.index as usize) {
-            item.crashes = Some(suspect.crashes);
+    for counted in &held.row.suspects {
+        if let Some(item) = items.get_mut(counted.index as usize) {
+            item.crashes = Some(counted.crashes);
         }
     }
     let chunk = Arc::new(HeldChunk {
@@ -292,6 +301,7 @@
     Ok(())
 }
 
+/// Returns a parsed input line as an item of a held chunk. An invalid line has failed already.
 fn held_item(parsed: Result<cuminramp_batch::BatchItem, cuminramp_batch::ItemError>) -> HeldItem {
     match parsed {
         Ok(item) => HeldItem {
@@ -301,35 +311,35 @@
             failures: 0,
             crashes: None,
         },
-        Err(fault) => HeldItem {
-            custom_id: fault.custom_id,
+        Err(error) => HeldItem {
+            custom_id: error.custom_id,
             item: None,
-            outcome: Some(cuminramp_batch::ItemOutcome::Failed(fault.refusal)),
+            outcome: Some(cuminramp_batch::ItemOutcome::Failed(error.refusal)),
             failures: 0,
             crashes: None,
         },
     }
 }
 
-/// Queues a chunk's open items; one without any is finished at once.
+/// Queues a chunk's unfinished items. A chunk that has none is finished at once.
 fn queue_chunk(state: &Arc<DaemonState>, chunk: &Arc<HeldChunk>) {
-    let open = chunk.open_slots();
-    if open.is_empty() {
+    let unfinished = chunk.unfinished_items();
+    if unfinished.is_empty() {
         let (state, chunk) = (state.clone(), chunk.clone());
         state.tasks.clone().spawn(async move { finish_chunk(&state, &chunk).await });
         return;
     }
-    for slot in open {
-        queue_item(state, ItemRef { chunk: chunk.clone(), slot });
+    for index in unfinished {
+        queue_item(state, ItemRef { chunk: chunk.clone(), index });
     }
 }
 
-/// Queues an item at the pool of its model; one whose model has no route ends with an error.
+/// Queues an item for the pool that serves its model. An item whose model has no route fails.
 pub(crate) fn queue_item(state: &Arc<DaemonState>, item: ItemRef) {
     let in_force = state.configuration.in_force();
-    let (model, is_suspect) = {
+    let (model, runs_alone) = {
         let items = lock(&item.chunk.items);
-        let held = &items[item.slot];
+        let held = &items[item.index];
         let model = held.item.as_ref().map(|item| item.model.clone()).unwrap_or_default();
         (model, held.crashes.is_some())
     };
@@ -340,17 +350,18 @@
     let team = item.chunk.job.team.clone();
     let weight = in_force.configuration.teams.get(&*team).map_or(1, |team| team.weight);
     let mut waiting = lock(&state.batch.waiting);
-    if is_suspect {
-        waiting.suspects.get_or_insert_with(pool, Default::default).push_back(item);
+    if runs_alone {
+        waiting.isolated.get_or_insert_with(pool, Default::default).push_back(item);
     } else {
         waiting.ready.get_or_insert_with(pool, Default::default).push(&team, weight, 1, item);
     }
 }
 
-/// Closes a job whose chunks are all done: its results are listed first, then its row says so.
+/// Closes a job whose chunks are all done. The manifest is written before the job's row is completed, so
+/// that the results of a completed job can always be read.
 async fn close_job(
     state: &DaemonState,
-    job: &KnownJob,
+    job: &TrackedJob,
     chunks: &[VersionedChunk],
 ) -> Result<(), StoreError> {
     write_manifest(state, &job.row).await?;
@@ -384,10 +395,10 @@
     Ok(())
 }
 
-/// Gives all chunks back, as a host that leaves does.
+/// Releases all held chunks when this host leaves, so that other hosts can lease them at once.
 pub(crate) async fn release_chunks(state: &Arc<DaemonState>) {
     let held: Vec<Arc<HeldChunk>> = lock(&state.batch.held).clone();
     for chunk in held {
-        give_back(state, &chunk).await;
+        release_held_chunk(state, &chunk).await;
     }
 }
--- a/crates/cuminramp-daemon/src/batch/held.rs
+++ b/crates/cuminramp-daemon/src/batch/held.rs
@@ -1,4 +1,4 @@
-//! Chunks that this host works on.
+//! Chunks that this host holds the lease of, with their jobs and items.
 
 use std::sync::{Arc, Mutex};
 
@@ -10,27 +10,29 @@
 
 use crate::state::lock;
 
-/// A job that is open, as this host knows it.
-pub(crate) struct KnownJob {
+/// An open job, as this host last read it from the table.
+pub(crate) struct TrackedJob {
     pub(crate) row: JobRow,
     pub(crate) id: Name,
     pub(crate) team: Name,
-    /// The version of the row that lists it as open. A commit names it, so that nothing is committed
-    /// to a job that was cancelled.
+    /// Version of the row that lists the job as open. Each update of a chunk's row is conditional on
+    /// it, so that nothing is committed to a cancelled job.
     pub(crate) open_version: Version,
     pub(crate) layout: ChunkLayout,
-    /// Cancelled when the job is open no more.
+    /// Cancelled when the job is no longer open.
     pub(crate) closed: CancellationToken,
 }
 
-/// An item with what has become of it.
+/// An item of a held chunk and its state.
 pub(crate) struct HeldItem {
     pub(crate) custom_id: String,
-    /// `None` for a line that can't run.
+    /// `None` if the input line is invalid.
     pub(crate) item: Option<BatchItem>,
     pub(crate) outcome: Option<ItemOutcome>,
+    /// Attempts that failed without a crash of the target.
     pub(crate) failures: u32,
-    /// Crashes of targets under it; `None` while no target died.
+    /// Crashes of targets while they ran only this item; `None` if no target crashed while it ran this
+    /// item, alone or with others.
     pub(crate) crashes: Option<u32>,
 }
 
@@ -42,43 +44,44 @@
 
 /// A chunk that this host holds the lease of.
 pub(crate) struct HeldChunk {
-    pub(crate) job: Arc<KnownJob>,
+    pub(crate) job: Arc<TrackedJob>,
     pub(crate) index: u32,
     pub(crate) lease: LeaseHolder,
     pub(crate) items: Mutex<Vec<HeldItem>>,
-    /// Held across writes, so that two steps of the row never cross.
+    /// Locked across writes, so that two updates of the row never run at the same time.
     pub(crate) row: tokio::sync::Mutex<HeldRow>,
-    /// Cancelled when the lease is lost, the job closed or the chunk given back.
+    /// Cancelled when the lease is lost, the job is closed or the chunk is released.
     pub(crate) dropped: CancellationToken,
 }
 
-/// An item of a held chunk.
+/// A reference to an item of a held chunk.
 #[derive(Clone)]
 pub(crate) struct ItemRef {
     pub(crate) chunk: Arc<HeldChunk>,
-    pub(crate) slot: usize,
+    pub(crate) index: usize,
 }
 
 impl HeldChunk {
-    /// Items that have no outcome yet.
-    pub(crate) fn open_slots(&self) -> Vec<usize> {
+    /// Returns the indexes of the items that have no outcome yet.
+    pub(crate) fn unfinished_items(&self) -> Vec<usize> {
         let items = lock(&self.items);
         let open = items.iter().enumerate().filter(|(_, item)| item.outcome.is_none());
-        open.map(|(slot, _)| slot).collect()
+        open.map(|(index, _)| index).collect()
     }
 
-    /// Notes an outcome; says whether it was the last one missing.
-    pub(crate) fn finish_item(&self, slot: usize, outcome: ItemOutcome) -> bool {
+    /// Records an item's outcome. Returns whether all items now have one, `false` if this item already
+    /// had one.
+    pub(crate) fn record_outcome(&self, index: usize, outcome: ItemOutcome) -> bool {
         let mut items = lock(&self.items);
-        // A run that was given up for lost may end after all: the first outcome stays.
-        if items[slot].outcome.is_some() {
+        // A run that was considered lost may still end; only the first outcome counts.
+        if items[index].outcome.is_some() {
             return false;
         }
-        items[slot].outcome = Some(outcome);
+        items[index].outcome = Some(outcome);
         items.iter().all(|item| item.outcome.is_some())
     }
 
-    /// How many items ended how.
+    /// Counts the completed and failed items. An item without an outcome counts as failed.
     pub(crate) fn tally(&self) -> ChunkTally {
         let items = lock(&self.items);
         let ended = items.iter().filter_map(|item| item.outcome.as_ref());
@@ -86,7 +89,7 @@
         ChunkTally { completed, failed: items.len() as u32 - completed }
     }
 
-    /// The lines of the output file or of the error file.
+    /// Returns the chunk's lines of the output file (`success`) or of the error file.
     pub(crate) fn lines(&self, success: bool) -> String {
         let items = lock(&self.items);
         let mut text = String::new();
@@ -101,13 +104,14 @@
         text
     }
 
-    /// Items under which a target died, for the row.
-    pub(crate) fn suspects(&self) -> Vec<SuspectItem> {
+    /// Returns the crash counts of items, as the chunk's row stores them. Items that no target crashed
+    /// with are left out.
+    pub(crate) fn crash_counts(&self) -> Vec<SuspectItem> {
         let items = lock(&self.items);
-        let suspects = items.iter().enumerate();
-        suspects
-            .filter_map(|(slot, item)| {
-                Some(SuspectItem { index: slot as u32, crashes: item.crashes? })
+        let indexed = items.iter().enumerate();
+        indexed
+            .filter_map(|(index, item)| {
+                Some(SuspectItem { index: index as u32, crashes: item.crashes? })
             })
             .collect()
     }
--- a/crates/cuminramp-daemon/src/batch/jobs.rs
+++ b/crates/cuminramp-daemon/src/batch/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers and operators see them.
+//! Creates, describes, lists and cancels jobs for callers and operators.
 
 use std::sync::Arc;
 
@@ -14,16 +14,17 @@
 use crate::entry::files::{content_digits, file_object, find_file, store_refusal, unix_now};
 use crate::state::DaemonState;
 
-/// What identifiers of jobs start with.
+/// Prefix of job identifiers.
 const JOB_PREFIX: &str = "batch_";
-/// Jobs in one list.
-const LIST_LIMIT: usize = 1_000;
-/// Chunk rows read in one call.
-const CHUNK_LIMIT: usize = 10_000;
-/// A cancelled job is read back so often where the table's answer was lost.
-const SETTLE_TRIES: u32 = 5;
+/// Maximum number of jobs in a list.
+const MAX_LISTED_JOBS: usize = 1_000;
+/// Maximum number of chunk rows of a job that are read.
+const MAX_CHUNK_ROWS: usize = 10_000;
+/// Maximum number of attempts to cancel a job. Each starts with reading the job's row, which shows
+/// whether an earlier attempt whose answer was lost succeeded.
+const MAX_CANCEL_ATTEMPTS: u32 = 5;
 
-/// A caller's wish for a job.
+/// A caller's request to create a job.
 pub(crate) struct JobRequest {
     pub(crate) team: Name,
     pub(crate) input_file: String,
@@ -34,8 +35,8 @@
 }
 
 impl JobRequest {
-    /// The identifier follows from what is asked for: a job that is sent again, perhaps through
-    /// another host and after the first answer was lost, is the same job.
+    /// Derives the job's identifier from the content of the request, so that a request that is sent
+    /// again, possibly through another host after the first answer was lost, creates no second job.
     fn job_id(&self) -> String {
         let metadata = self.metadata_text();
         let parts: [&[u8]; 5] = [
@@ -54,7 +55,7 @@
     }
 }
 
-/// A job's row with its version.
+/// A job's row and its version in the table.
 pub(crate) struct VersionedJob {
     pub(crate) row: JobRow,
     pub(crate) version: u64,
@@ -75,8 +76,8 @@
     })
 }
 
-/// Accepts a job. When this returns, the job is in the table and will be worked on whatever happens
-/// to this host.
+/// Creates a job, or returns the existing one if the same request was sent before. When this returns
+/// `Ok`, the job is in the table and will run even if this host fails.
 pub(crate) async fn create_job(
     state: &Arc<DaemonState>,
     request: JobRequest,
@@ -110,14 +111,14 @@
         chunks = layout.chunks.len() as u64, decision = "accepted";
         "job"
     );
-    state.batch.hungry.notify_one();
+    state.batch.claim_wakeup.notify_one();
     match read_job(state, &id).await? {
         Some(job) => Ok(job_json(&job.row)),
         None => Ok(job_json(&row)),
     }
 }
 
-/// What a job's input file says.
+/// A job's input file: its chunks, and the model of its first valid item.
 struct InputFile {
     layout: ChunkLayout,
     model: String,
@@ -132,12 +133,12 @@
         .map_err(|_| Refusal::not_run(ResultCode::FieldInvalid, "the input file is not UTF-8"))?;
     let batch = &state.settings.batch;
     let layout = ChunkLayout::cut(text, batch.min_chunk_items, batch.max_chunk_items);
-    let most = state.settings.limits.max_batch_items;
+    let max_items = state.settings.limits.max_batch_items;
     if layout.items == 0 {
         return Err(Refusal::not_run(ResultCode::FieldInvalid, "the input file has no items"));
     }
-    if layout.items as usize > most {
-        let message = format!("the input file has {} items, more than {most}", layout.items);
+    if layout.items as usize > max_items {
+        let message = format!("the input file has {} items, more than {max_items}", layout.items);
         return Err(Refusal::not_run(ResultCode::FieldInvalid, message));
     }
     let lines = text.lines().enumerate();
@@ -145,7 +146,7 @@
     Ok(InputFile { layout, model: first.map(|item| item.model).unwrap_or_default() })
 }
 
-/// Writes a new job; another host that took the same one first has done no harm.
+/// Writes a new job's rows. A conflict is a success: another host has created the same job.
 async fn write_job(state: &DaemonState, row: &JobRow) -> Result<(), Refusal> {
     let value = encode_row(row);
     let transaction = Transaction::default()
@@ -157,7 +158,8 @@
         Err(StoreError::Unavailable(reason)) => Err(store_refusal(StoreError::Unavailable(reason))),
         Err(StoreError::Unknown(reason)) => match read_job(state, &row.id).await? {
             Some(_) => Ok(()),
-            // The write may still land, and the job run; sent again it is the same job.
+            // The write may still be applied and the job may run. A retry by the caller derives the
+            // same identifier, so it can't create a second job.
             None => {
                 let refusal = store_refusal(StoreError::Unknown(reason));
                 Err(refusal.with_execution(Execution::MayHaveRun))
@@ -166,7 +168,7 @@
     }
 }
 
-/// Shows a team's job.
+/// Returns a team's job as JSON, with its progress.
 pub(crate) async fn describe_job(
     state: &DaemonState,
     team: &str,
@@ -177,7 +179,8 @@
     Ok(job_json(&job.row))
 }
 
-/// Counts what is done of a job that is still open.
+/// Adds the counts of committed chunks to the row of a running job. The row of a job that has ended
+/// already has its final counts.
 async fn add_progress(state: &DaemonState, row: &mut JobRow) -> Result<(), Refusal> {
     if row.state() != JobState::Running {
         return Ok(());
@@ -191,28 +194,29 @@
     Ok(())
 }
 
-/// A chunk's row with its version.
+/// A chunk's row and its version in the table.
 pub(crate) struct VersionedChunk {
     pub(crate) row: ChunkRow,
     pub(crate) version: u64,
 }
 
-/// The rows of a job's chunks; a chunk that nobody touched has none.
+/// Reads the rows of a job's chunks. A chunk that was never leased has no row.
 pub(crate) async fn read_chunks(
     state: &DaemonState,
     job: &str,
 ) -> Result<Vec<VersionedChunk>, StoreError> {
     let prefix = format!("chunk/{job}/");
-    let rows = state.platform.table.scan(&prefix, "", CHUNK_LIMIT).await?;
+    let rows = state.platform.table.scan(&prefix, "", MAX_CHUNK_ROWS).await?;
     let decode =
         |row: Row| Some(VersionedChunk { row: decode_row(&row.value).ok()?, version: row.version });
     Ok(rows.into_iter().filter_map(decode).collect())
 }
 
-/// Lists a team's jobs.
+/// Lists a team's jobs, the newest first.
 pub(crate) async fn list_jobs(state: &DaemonState, team: &str) -> Result<Vec<Value>, Refusal> {
     let prefix = team_job_key(team, "");
-    let rows = state.platform.table.scan(&prefix, "", LIST_LIMIT).await.map_err(store_refusal)?;
+    let rows =
+        state.platform.table.scan(&prefix, "", MAX_LISTED_JOBS).await.map_err(store_refusal)?;
     let keys: Vec<String> =
         rows.iter().filter_map(|row| row.key.strip_prefix(&prefix)).map(job_key).collect();
     let jobs = state.platform.table.read(&keys).await.map_err(store_refusal)?;
@@ -222,9 +226,10 @@
     Ok(jobs.iter().map(job_json).collect())
 }
 
-/// Lists the jobs of all teams that are open.
+/// Lists the open jobs of all teams.
 pub(crate) async fn list_open_jobs(state: &DaemonState) -> Result<Vec<Value>, Refusal> {
-    let rows = state.platform.table.scan("open/", "", LIST_LIMIT).await.map_err(store_refusal)?;
+    let rows =
+        state.platform.table.scan("open/", "", MAX_LISTED_JOBS).await.map_err(store_refusal)?;
     let jobs = rows.iter().filter_map(|row| decode_row::<JobRow>(&row.value).ok());
     Ok(jobs
         .map(|row| {
@@ -235,14 +240,14 @@
         .collect())
 }
 
-/// Cancels a team's job. When this returns, nothing more can be committed to it: commits name the
-/// version of the row that lists it as open, and that row is gone.
+/// Cancels a team's job. When this returns `Ok`, no more results can be committed to the job: a commit
+/// is conditional on the version of the row that lists the job as open, and that row is deleted.
 pub(crate) async fn cancel_job(
     state: &Arc<DaemonState>,
     team: &str,
     id: &str,
 ) -> Result<Value, Refusal> {
-    for _ in 0..SETTLE_TRIES {
+    for _ in 0..MAX_CANCEL_ATTEMPTS {
         let mut job = find_job(state, team, id).await?;
         if job.row.state() != JobState::Running {
             return Ok(job_json(&job.row));
@@ -261,24 +266,27 @@
             Ok(CommitOutcome::Committed(_)) => {
                 log::info!(job = id, team = team, decision = "cancelled"; "job");
                 write_manifest(state, &row).await.map_err(store_refusal)?;
-                state.batch.hungry.notify_one();
+                state.batch.claim_wakeup.notify_one();
                 return Ok(job_json(&row));
             }
-            // Another host changed it, or the answer was lost: read it again.
+            // Another host changed the row, or the outcome is unknown: read the row again.
             Ok(CommitOutcome::Conflict(_)) | Err(StoreError::Unknown(_)) => {}
             Err(error) => return Err(store_refusal(error)),
         }
     }
-    Err(store_refusal(StoreError::Unknown("the job's row changes too often".into())))
+    Err(store_refusal(StoreError::Unknown(
+        "the job's row kept changing, or the outcome of each write is unknown".into(),
+    )))
 }
 
-/// The identifier of a job's output or error file.
+/// Returns the identifier of a job's output (`success`) or error file.
 pub(crate) fn output_id(job: &str, success: bool) -> String {
     let digits = job.strip_prefix(JOB_PREFIX).unwrap_or(job);
     format!("file-{digits}-{}", if success { "output" } else { "error" })
 }
 
-/// The job behind the identifier of an output file, and whether it is the output or the errors.
+/// Returns the job that an output or error file belongs to, and whether it is the output file; `None`
+/// if `file` is neither.
 pub(crate) fn output_job(file: &str) -> Option<(String, bool)> {
     let rest = file.strip_prefix("file-")?;
     let (digits, success) = match (rest.strip_suffix("-output"), rest.strip_suffix("-error")) {
@@ -289,6 +297,7 @@
     Some((format!("{JOB_PREFIX}{digits}"), success))
 }
 
+/// Returns a job in the JSON form of the batch API.
 fn job_json(row: &JobRow) -> Value {
     let status = match row.state() {
         JobState::Running => "in_progress",
--- a/crates/cuminramp-daemon/src/batch/runner.rs
+++ b/crates/cuminramp-daemon/src/batch/runner.rs
@@ -1,4 +1,4 @@
-//! Runs items in the windows of engines.
+//! Runs items on engines, within each engine's batch window.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::batch::chunks::{finish_chunk, keep_suspects};
+use crate::batch::chunks::{finish_chunk, write_crash_counts};
 use crate::batch::claims::queue_item;
 use crate::batch::held::ItemRef;
 use crate::batch::windows::{RunningItem, batch_owner_of, owns_any_batch};
@@ -22,98 +22,113 @@
 use crate::interfaces::TargetAnswer;
 use crate::state::{DaemonState, lock};
 
-/// How often windows are looked at.
-const STEP: Duration = Duration::from_millis(20);
-/// How often it is looked whether there is work, while there is none.
-const IDLE_STEP: Duration = Duration::from_millis(200);
-/// Items at once on an engine that this host is not steward of.
-const STRANDED_WINDOW: u32 = 1;
-/// Waits before an item that no target took is queued again.
-const REQUEUE_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum interval between two updates of the windows while there is batch work.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum interval between two checks for batch work while there is none.
+const IDLE_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of items at once on an engine that this host is not the batch owner of.
+const MAX_UNOWNED_ITEMS: u32 = 1;
+/// Delay before an item that its target did not accept is queued again.
+const REQUEUE_DELAY: Duration = Duration::from_millis(100);
 
-/// Fills windows with items, again and again.
+/// Updates the windows and starts items in them, until the task is stopped.
 pub(crate) async fn run_items(state: Arc<DaemonState>) {
     loop {
         if !state.batch.has_work() {
-            // Looking at all engines for nothing is most of what an idle host does.
-            let _ = tokio::time::timeout(IDLE_STEP, state.batch.work.notified()).await;
+            // Otherwise an idle host would spend most of its time on updating windows for nothing.
+            let _ = tokio::time::timeout(IDLE_INTERVAL, state.batch.runner_wakeup.notified()).await;
             continue;
         }
         let mut slots = 0;
         for pool in engine_pools(&state) {
-            let stranded = is_stranded(&state, &pool);
+            let unowned_allowed = needs_unowned_engines(&state, &pool);
             for target in &pool.targets {
-                slots += fill_window(&state, &pool, target, stranded);
+                slots += fill_window(&state, &pool, target, unowned_allowed);
             }
         }
         if lock(&state.batch.waiting).len() < slots as usize {
-            state.batch.hungry.notify_one();
+            state.batch.claim_wakeup.notify_one();
         }
-        let _ = tokio::time::timeout(STEP, state.batch.work.notified()).await;
+        let _ = tokio::time::timeout(UPDATE_INTERVAL, state.batch.runner_wakeup.notified()).await;
     }
 }
 
+/// Returns the pools whose targets are engines; batch items run on no others.
 fn engine_pools(state: &DaemonState) -> Vec<Pool> {
     let in_force = state.configuration.in_force();
     let pools = in_force.configuration.pools.values();
     pools.filter(|pool| pool.kind == PoolKind::Engines).cloned().collect()
 }
 
-/// Whether items wait here for a pool none of whose engines this host is steward of, as when the
-/// steward changed after they were leased, or a job asks for several models. They would wait for
-/// ever; so this host runs them one by one beside the stewards.
-fn is_stranded(state: &DaemonState, pool: &Pool) -> bool {
-    let waits = lock(&state.batch.waiting).waits_for(&pool.name);
-    waits && !owns_any_batch(state, pool)
+/// Whether items wait here for a pool although this host is the batch owner of none of its engines.
+///
+/// This happens if the batch owner changed after the items were leased, or if a job has items for
+/// several models. These items would wait forever, so this host runs them beside the batch owners'
+/// items, at most [`MAX_UNOWNED_ITEMS`] at once on each engine.
+fn needs_unowned_engines(state: &DaemonState, pool: &Pool) -> bool {
+    let has_items = lock(&state.batch.waiting).has_items_for(&pool.name);
+    has_items && !owns_any_batch(state, pool)
 }
 
-/// Brings an engine's window up to date and starts what fits; returns the window's size.
-fn fill_window(state: &Arc<DaemonState>, pool: &Pool, target: &Target, stranded: bool) -> u32 {
+/// Updates an engine's window, cancels the items beyond its size and starts items in its free part.
+/// Returns the window's size in items.
+fn fill_window(
+    state: &Arc<DaemonState>,
+    pool: &Pool,
+    target: &Target,
+    unowned_allowed: bool,
+) -> u32 {
     let now = Instant::now();
-    let mine = batch_owner_of(state, &target.name).is_some_and(|host| host == state.me.id.address);
+    let is_owner =
+        batch_owner_of(state, &target.name).is_some_and(|host| host == state.me.id.address);
     let (online, batch, report, ejected) = {
         let targets = lock(&state.targets);
         let (online, batch) = targets.in_flight(&target.name);
         let report = targets.report(&target.name);
         (online, batch, report, targets.is_ejected(&target.name, now))
     };
-    let open = (mine || stranded) && !target.leaving && !ejected && !state.drain.is_cancelled();
-    let free = state.batch.with_engine(&target.name, target.slots, |engine| {
-        let size = if open { engine.window.update(online, report, batch, now) } else { 0 };
-        let size = if mine { size } else { size.min(STRANDED_WINDOW) };
+    let is_open =
+        (is_owner || unowned_allowed) && !target.leaving && !ejected && !state.drain.is_cancelled();
+    let capacity = state.batch.with_engine(&target.name, target.slots, |engine| {
+        let size = if is_open { engine.window.update(online, report, batch, now) } else { 0 };
+        let size = if is_owner { size } else { size.min(MAX_UNOWNED_ITEMS) };
         let running = engine.running.len() as u32;
-        // The newest go first: they have the least to lose.
+        // The newest items are cancelled first, because they lose the least work.
         for extra in engine.running.iter().rev().take(running.saturating_sub(size) as usize) {
             extra.cancel.cancel();
         }
-        WindowRoom {
+        WindowCapacity {
             size,
             free: size.saturating_sub(running),
             is_empty: running == 0,
-            is_alone: engine.running.iter().any(|item| item.alone),
+            is_exclusive: engine.running.iter().any(|item| item.alone),
         }
     });
-    start_items(state, pool, target, &free);
-    free.size
+    start_items(state, pool, target, &capacity);
+    capacity.size
 }
 
-struct WindowRoom {
+/// Size of an engine's window in items, and how much of it is used.
+struct WindowCapacity {
     size: u32,
     free: u32,
     is_empty: bool,
-    is_alone: bool,
+    /// Whether an item runs that nothing else of batch may run beside.
+    is_exclusive: bool,
 }
 
-fn start_items(state: &Arc<DaemonState>, pool: &Pool, target: &Target, room: &WindowRoom) {
-    if room.is_alone || room.free == 0 {
+/// Starts waiting items in an engine's free capacity. While no item of this host runs there, an item that
+/// must run alone goes first; otherwise only other items are started.
+fn start_items(state: &Arc<DaemonState>, pool: &Pool, target: &Target, capacity: &WindowCapacity) {
+    if capacity.is_exclusive || capacity.free == 0 {
         return;
     }
-    if room.is_empty
-        && let Some(suspect) = next_suspect(state, &pool.name)
+    if capacity.is_empty
+        && let Some(isolated) = next_isolated(state, &pool.name)
     {
-        return start_item(state, pool, target, suspect, true);
+        return start_item(state, pool, target, isolated, true);
     }
-    for _ in 0..room.free {
+    for _ in 0..capacity.free {
         let Some(item) = next_ready(state, &pool.name) else {
             return;
         };
@@ -125,11 +140,11 @@
     item.chunk.dropped.is_cancelled()
 }
 
-fn next_suspect(state: &DaemonState, pool: &str) -> Option<ItemRef> {
+fn next_isolated(state: &DaemonState, pool: &str) -> Option<ItemRef> {
     let mut waiting = lock(&state.batch.waiting);
-    let suspects = waiting.suspects.get_mut(pool)?;
+    let isolated = waiting.isolated.get_mut(pool)?;
     loop {
-        let item = suspects.pop_front()?;
+        let item = isolated.pop_front()?;
         if !is_dropped(&item) {
             return Some(item);
         }
@@ -161,24 +176,24 @@
         state.batch.with_engine(&target.name, target.slots, |engine| {
             engine.running.retain(|running| running.number != number);
         });
-        settle_item(&state, item, end, alone).await;
-        state.batch.work.notify_one();
+        handle_end(&state, item, end, alone).await;
+        state.batch.runner_wakeup.notify_one();
     });
 }
 
-/// How a run of an item ended.
+/// Result of one run of an item.
 enum ItemEnd {
-    /// With an answer of the target.
+    /// The target answered.
     Answered(ItemOutcome),
-    /// It was taken off the engine to make way, or no target took it.
-    Yielded,
-    /// No target took it just now.
+    /// The run was cancelled to make room on the engine; the item is queued again.
+    Preempted,
+    /// The target did not accept the item, which did not run.
     NotRun,
-    /// The target failed it, or fell silent.
+    /// The target failed, timed out or sent an unusable answer.
     Failed,
-    /// The target died.
+    /// The connection broke, which counts as a crash of the target.
     Crashed,
-    /// The chunk is no longer this host's.
+    /// This host no longer holds the chunk.
     Dropped,
 }
 
@@ -190,7 +205,7 @@
 ) -> ItemEnd {
     tokio::select! {
         end = call_target(state, item, lease) => end,
-        () = cancel.cancelled() => ItemEnd::Yielded,
+        () = cancel.cancelled() => ItemEnd::Preempted,
         () = item.chunk.dropped.cancelled() => ItemEnd::Dropped,
     }
 }
@@ -198,14 +213,14 @@
 async fn call_target(state: &DaemonState, item: &ItemRef, lease: &TargetLease) -> ItemEnd {
     let body = {
         let items = lock(&item.chunk.items);
-        let Some(batch_item) = items[item.slot].item.as_ref() else {
+        let Some(batch_item) = items[item.index].item.as_ref() else {
             return ItemEnd::Dropped;
         };
         Bytes::from(batch_item.body.to_string())
     };
-    let wait = state.settings.batch.item_timeout();
-    let deadline = Instant::now() + wait;
-    match start_attempt(state, lease, chat_request(body), wait, deadline).await {
+    let timeout = state.settings.batch.item_timeout();
+    let deadline = Instant::now() + timeout;
+    match start_attempt(state, lease, chat_request(body), timeout, deadline).await {
         AttemptResult::Answered(answer) => read_answer(state, lease, answer, deadline).await,
         AttemptResult::Failed(failure) => match failure.stage {
             _ if failure.is_crash => ItemEnd::Crashed,
@@ -215,19 +230,20 @@
     }
 }
 
+/// Reads an answer's body to its end, within the deadline and the size limit.
 async fn read_answer(
     state: &DaemonState,
     lease: &TargetLease,
     mut answer: TargetAnswer,
     deadline: Instant,
 ) -> ItemEnd {
-    let mut whole = BytesMut::new();
+    let mut content = BytesMut::new();
     loop {
         match tokio::time::timeout_at(deadline, answer.body.next()).await {
             Ok(Some(Ok(bytes)))
-                if whole.len() + bytes.len() <= state.settings.limits.max_answer_bytes =>
+                if content.len() + bytes.len() <= state.settings.limits.max_answer_bytes =>
             {
-                whole.extend_from_slice(&bytes);
+                content.extend_from_slice(&bytes);
             }
             Ok(Some(Ok(_))) => return ItemEnd::Failed,
             Ok(Some(Err(_))) => {
@@ -241,7 +257,7 @@
             }
         }
     }
-    match serde_json::from_slice::<Value>(&whole) {
+    match serde_json::from_slice::<Value>(&content) {
         Ok(body) => {
             ItemEnd::Answered(ItemOutcome::Answered { status: answer.status.as_u16(), body })
         }
@@ -249,25 +265,27 @@
     }
 }
 
-async fn settle_item(state: &Arc<DaemonState>, item: ItemRef, end: ItemEnd, alone: bool) {
+/// Records the outcome of an item whose run has ended, or queues the item again.
+async fn handle_end(state: &Arc<DaemonState>, item: ItemRef, end: ItemEnd, alone: bool) {
     match end {
         ItemEnd::Dropped => {}
         ItemEnd::Answered(outcome) => finish_item(state, &item, outcome),
-        ItemEnd::Yielded => queue_item(state, item),
+        ItemEnd::Preempted => queue_item(state, item),
         ItemEnd::NotRun => {
-            tokio::time::sleep(REQUEUE_PAUSE).await;
+            tokio::time::sleep(REQUEUE_DELAY).await;
             queue_item(state, item);
         }
-        ItemEnd::Failed => settle_failure(state, item),
-        ItemEnd::Crashed => settle_crash(state, item, alone).await,
+        ItemEnd::Failed => handle_failure(state, item),
+        ItemEnd::Crashed => handle_crash(state, item, alone).await,
     }
 }
 
-fn settle_failure(state: &Arc<DaemonState>, item: ItemRef) {
+/// Queues a failed item again, or ends it with an error after the configured number of attempts.
+fn handle_failure(state: &Arc<DaemonState>, item: ItemRef) {
     let failures = {
         let mut items = lock(&item.chunk.items);
-        items[item.slot].failures += 1;
-        items[item.slot].failures
+        items[item.index].failures += 1;
+        items[item.index].failures
     };
     if failures < state.settings.batch.item_attempts {
         return queue_item(state, item);
@@ -277,40 +295,44 @@
     finish_item(state, &item, ItemOutcome::Failed(refusal));
 }
 
-/// A target died under an item. Which of its items killed it is not known, so each becomes a suspect
-/// that runs alone; one under which targets die while it runs alone ends with an error of its own.
-async fn settle_crash(state: &Arc<DaemonState>, item: ItemRef, alone: bool) {
+/// Handles an item whose target crashed.
+///
+/// It is not known which of the target's items caused the crash, so from now on each of them runs alone.
+/// An item that crashes targets while it runs alone, as often as the configured limit, ends with an
+/// error. The count is written to the chunk's row before the item runs again.
+async fn handle_crash(state: &Arc<DaemonState>, item: ItemRef, alone: bool) {
     let crashes = {
         let mut items = lock(&item.chunk.items);
-        let held = &mut items[item.slot];
+        let held = &mut items[item.index];
         let crashes = held.crashes.unwrap_or(0) + u32::from(alone);
         held.crashes = Some(crashes);
         crashes
     };
     log::info!(
-        job = &*item.chunk.job.id, chunk = item.chunk.index, item = item.slot as u64,
+        job = &*item.chunk.job.id, chunk = item.chunk.index, item = item.index as u64,
         crashes = crashes, alone = alone;
         "item-crash"
     );
-    keep_suspects(state, &item.chunk).await;
+    write_crash_counts(state, &item.chunk).await;
     if crashes < state.settings.batch.item_crashes {
         return queue_item(state, item);
     }
-    let message = format!("{crashes} targets died while they ran this item alone");
+    let message = format!("{crashes} targets crashed while running only this item");
     let refusal = Refusal::not_run(ResultCode::ItemFailed, message).with_execution(Execution::Ran);
     finish_item(state, &item, ItemOutcome::Failed(refusal));
 }
 
-/// Ends an item whose model has no route.
+/// Ends an item with an error because no route serves its model.
 pub(crate) fn end_without_route(state: &Arc<DaemonState>, item: &ItemRef, model: &str) {
     let message = format!("no route serves the model {model:?}");
     let refusal = Refusal::not_run(ResultCode::RouteUnknown, message);
     finish_item(state, item, ItemOutcome::Failed(refusal));
 }
 
+/// Records an item's outcome, and finishes the chunk if this was the last one missing.
 fn finish_item(state: &Arc<DaemonState>, item: &ItemRef, outcome: ItemOutcome) {
     state.metrics.count_item(outcome.is_success());
-    if item.chunk.finish_item(item.slot, outcome) {
+    if item.chunk.record_outcome(item.index, outcome) {
         let (state, chunk) = (state.clone(), item.chunk.clone());
         state.tasks.clone().spawn(async move { finish_chunk(&state, &chunk).await });
     }
--- a/crates/cuminramp-daemon/src/batch/windows.rs
+++ b/crates/cuminramp-daemon/src/batch/windows.rs
@@ -1,4 +1,4 @@
-//! Windows of the engines that this host is steward of, and the items that wait and run.
+//! Batch windows of engines, and the batch items that wait and run on this host.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,57 +15,60 @@
 use crate::batch::held::{HeldChunk, ItemRef};
 use crate::state::{DaemonState, lock};
 
-/// An item that runs on an engine.
+/// A batch item that runs on an engine.
 pub(crate) struct RunningItem {
+    /// Identifies the run, as an item may run more than once.
     pub(crate) number: u64,
     pub(crate) cancel: CancellationToken,
-    /// Whether it is a suspect, beside which nothing else of batch runs.
+    /// Whether this host must run no other batch item on the engine, because a target crashed while it
+    /// ran this item.
     pub(crate) alone: bool,
 }
 
-/// One engine as its steward sees it.
+/// An engine's batch window on this host, and the items that this host runs there.
 pub(crate) struct EngineWindow {
     pub(crate) window: BatchWindow,
     pub(crate) running: Vec<RunningItem>,
 }
 
-/// Items that wait for a window, by pool.
+/// Items that wait for free capacity in a window, by pool.
 #[derive(Default)]
 pub(crate) struct WaitingItems {
     pub(crate) ready: SortedMap<Name, FairQueue<ItemRef>>,
-    /// Items under which a target died: each runs alone.
-    pub(crate) suspects: SortedMap<Name, VecDeque<ItemRef>>,
+    /// Items that ran on a target when it crashed: each runs alone.
+    pub(crate) isolated: SortedMap<Name, VecDeque<ItemRef>>,
 }
 
 impl WaitingItems {
-    /// Whether any wait for a pool.
-    pub(crate) fn waits_for(&self, pool: &str) -> bool {
+    /// Whether any items wait for a pool.
+    pub(crate) fn has_items_for(&self, pool: &str) -> bool {
         let ready = self.ready.get(pool).is_some_and(|queue| !queue.is_empty());
-        ready || self.suspects.get(pool).is_some_and(|queue| !queue.is_empty())
+        ready || self.isolated.get(pool).is_some_and(|queue| !queue.is_empty())
     }
 
-    /// How many items wait.
+    /// Returns the number of waiting items.
     pub(crate) fn len(&self) -> usize {
         let ready: usize = self.ready.values().map(FairQueue::len).sum();
-        let suspects: usize = self.suspects.values().map(VecDeque::len).sum();
-        ready + suspects
+        let isolated: usize = self.isolated.values().map(VecDeque::len).sum();
+        ready + isolated
     }
 }
 
-/// What the parts of batch work share.
+/// State shared by the claiming and the running of batch work.
 pub(crate) struct BatchState {
     policy: WindowPolicy,
     pub(crate) engines: Mutex<SortedMap<Name, EngineWindow>>,
     pub(crate) waiting: Mutex<WaitingItems>,
     pub(crate) held: Mutex<Vec<Arc<HeldChunk>>>,
-    announced: Mutex<SortedMap<Name, Instant>>,
+    /// When this host last reported online work on a target to the target's batch owner.
+    reported: Mutex<SortedMap<Name, Instant>>,
     packings: Mutex<SortedMap<Name, OnlinePacking>>,
     /// Whether any job is open.
-    pub(crate) has_jobs: AtomicBool,
-    /// Wakes the runner.
-    pub(crate) work: Notify,
-    /// Wakes the claimer.
-    pub(crate) hungry: Notify,
+    pub(crate) has_open_jobs: AtomicBool,
+    /// Wakes the task that runs items.
+    pub(crate) runner_wakeup: Notify,
+    /// Wakes the task that leases chunks.
+    pub(crate) claim_wakeup: Notify,
 }
 
 impl BatchState {
@@ -75,30 +78,31 @@
             engines: Mutex::default(),
             waiting: Mutex::default(),
             held: Mutex::default(),
-            announced: Mutex::default(),
+            reported: Mutex::default(),
             packings: Mutex::default(),
-            has_jobs: AtomicBool::new(false),
-            work: Notify::new(),
-            hungry: Notify::new(),
+            has_open_jobs: AtomicBool::new(false),
+            runner_wakeup: Notify::new(),
+            claim_wakeup: Notify::new(),
         }
     }
 
-    /// The engine's window, closed at first.
+    /// Calls `access` with an engine's window, which is created closed if there is none yet.
     pub(crate) fn with_engine<R>(
         &self,
         target: &Name,
         slots: u32,
-        use_engine: impl FnOnce(&mut EngineWindow) -> R,
+        access: impl FnOnce(&mut EngineWindow) -> R,
     ) -> R {
         let mut engines = lock(&self.engines);
-        let fresh = || EngineWindow {
+        let new_engine = || EngineWindow {
             window: BatchWindow::new(self.policy.clone(), slots, Instant::now()),
             running: Vec::new(),
         };
-        use_engine(engines.get_or_insert_with(target.clone(), fresh))
+        access(engines.get_or_insert_with(target.clone(), new_engine))
     }
 
-    /// Online work is on its way to these engines: batch leaves them at once.
+    /// Closes the windows of engines that online work is being sent to, and cancels the batch items that
+    /// run there, as they would slow the online work. Engines without a window on this host are left out.
     pub(crate) fn note_online(&self, targets: &[Name], now: Instant) {
         let mut engines = lock(&self.engines);
         for target in targets {
@@ -112,38 +116,39 @@
         }
     }
 
-    /// Whether there is anything of batch to look after.
+    /// Whether any job is open or any batch item waits or runs on this host.
     pub(crate) fn has_work(&self) -> bool {
-        self.has_jobs.load(Ordering::Relaxed)
+        self.has_open_jobs.load(Ordering::Relaxed)
             || lock(&self.waiting).len() > 0
             || lock(&self.engines).values().any(|engine| !engine.running.is_empty())
     }
 
-    /// The targets of a pool that online work should keep to; `None`, which is all of them, while no
-    /// job is open.
+    /// Returns the targets of a pool that online work should prefer, so that batch has the others;
+    /// `None` while no job is open, when online work uses all targets.
     pub(crate) fn pack_online(
         &self,
         state: &DaemonState,
         pool: &Name,
         specs: &[TargetSpec],
     ) -> Option<Vec<TargetSpec>> {
-        if !self.has_jobs.load(Ordering::Relaxed) {
+        if !self.has_open_jobs.load(Ordering::Relaxed) {
             return None;
         }
         let now = Instant::now();
-        let here: u32 = {
+        let local: u32 = {
             let targets = lock(&state.targets);
             specs.iter().map(|spec| targets.in_flight(&spec.name).0).sum()
         };
-        // Callers spread over hosts, so others probably have as many.
+        // Callers are spread over all hosts, so each host probably has about as many in flight.
         let hosts = lock(&state.members).usable_hosts().len();
-        let in_flight = f64::from(here) * hosts as f64 + 1.0;
+        let in_flight = f64::from(local) * hosts as f64 + 1.0;
         let mut packings = lock(&self.packings);
         let packing = packings.get_or_insert_with(pool.clone(), || OnlinePacking::new(now));
         Some(packing.choose(specs, in_flight, now))
     }
 
-    /// Tells the engine's steward that online work is on its way, unless it was told just now.
+    /// Reports online work on a target to the target's batch owner, at most once per half of the yield
+    /// time.
     pub(crate) fn announce_online(&self, state: &Arc<DaemonState>, target: &Name) {
         let now = Instant::now();
         let Some(batch_owner) = batch_owner_of(state, target) else {
@@ -152,14 +157,14 @@
         if batch_owner == state.me.id.address {
             return self.note_online(std::slice::from_ref(target), now);
         }
-        let pause = self.policy.yield_time / 2;
+        let interval = self.policy.yield_time / 2;
         {
-            let mut announced = lock(&self.announced);
-            let last = announced.get(&**target).copied();
-            if last.is_some_and(|at| now.saturating_duration_since(at) < pause) {
+            let mut reported = lock(&self.reported);
+            let last = reported.get(&**target).copied();
+            if last.is_some_and(|at| now.saturating_duration_since(at) < interval) {
                 return;
             }
-            announced.insert(target.clone(), now);
+            reported.insert(target.clone(), now);
         }
         let (state, target) = (state.clone(), target.clone());
         state.metrics.count_peer_call("yield");
@@ -170,21 +175,21 @@
     }
 }
 
-/// The one host that lets batch work into an engine.
+/// Returns the batch owner of a target: the one host that admits batch items to it.
 ///
-/// Two hosts that see different hosts for a moment may both hold themselves for the steward; the
-/// engine's reports then show each the other's items, and both make room.
+/// While hosts have different lists of usable hosts, two of them may both act as batch owner of a
+/// target. The engine's load reports then show each the other's items, and both shrink their windows.
 pub(crate) fn batch_owner_of(state: &DaemonState, target: &str) -> Option<Name> {
     let hosts = lock(&state.members).usable_hosts();
     let batch_owner = hosts.iter().max_by_key(|host| rendezvous_score(target, &host.id.address))?;
     Some(batch_owner.id.address.clone())
 }
 
-/// Whether this host is steward of any engine of a pool.
+/// Whether this host is the batch owner of any target of a pool.
 pub(crate) fn owns_any_batch(state: &DaemonState, pool: &Pool) -> bool {
-    let is_mine = |target: &Target| {
+    let is_owned = |target: &Target| {
         batch_owner_of(state, &target.name)
             .is_some_and(|batch_owner| batch_owner == state.me.id.address)
     };
-    pool.targets.iter().any(is_mine)
+    pool.targets.iter().any(is_owned)
 }
