--- a/crates/cuminramp-batch/src/chunk.rs
+++ b/crates/cuminramp-batch/src/chunk.rs
@@ -1,16 +1,17 @@
-//! The steps of a chunk's row.
+//! State transitions of a chunk's row.
 
 use std::fmt;
 
 use cuminramp_core::HostId;
 use cuminramp_wire::rows::{ChunkRow, ChunkState, SuspectItem};
 
-/// Why a step can't be taken.
+/// Reason why a transition of a chunk's row is rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ChunkError {
-    /// Its results are committed.
+    /// The chunk's results are already committed.
     Done,
-    /// Another run holds it, or this run under another fencing number.
+    /// The chunk is leased to another host or incarnation, leased under another fencing number, or not
+    /// leased at all.
     NotHolder,
 }
 
@@ -18,40 +19,40 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             ChunkError::Done => "the chunk is done",
-            ChunkError::NotHolder => "the lease is another's",
+            ChunkError::NotHolder => "the lease is no longer held",
         })
     }
 }
 
 impl std::error::Error for ChunkError {}
 
-/// A lease as its holder remembers it.
+/// A lease as recorded by the host that holds it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LeaseHolder {
-    /// The run that holds it.
+    /// The host that holds the lease, with its incarnation.
     pub host: HostId,
-    /// The fencing number it was given.
+    /// The fencing number under which the lease was granted.
     pub fence: u64,
 }
 
-/// How many items of a chunk ended how.
+/// Numbers of a chunk's items by outcome.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ChunkTally {
-    /// With a result.
+    /// Items that a target answered with a 2xx status.
     pub completed: u32,
-    /// With an error.
+    /// Items that ended with another status or without a response.
     pub failed: u32,
 }
 
-/// The run that a row names as holder.
+/// Returns the host and incarnation that `row` names as the holder.
 fn holder_of(row: &ChunkRow) -> HostId {
     HostId { address: row.holder.as_str().into(), incarnation: row.holder_incarnation }
 }
 
-/// Whether a chunk may be leased: it is free, or its holder is gone.
+/// Returns whether a chunk may be leased, which is when it is free or its holder is gone.
 ///
-/// `is_gone` may err: a holder that lives after all loses its lease, and its commit then fails by
-/// the fencing number, so the worst is work done twice, never a result kept twice.
+/// `is_gone` may be wrong: a holder that is still alive loses its lease, and its commit is then
+/// rejected because of the fencing number. At worst items are run twice, but never committed twice.
 ///
 /// ```
 /// use cuminramp_wire::rows::ChunkRow;
@@ -65,7 +66,7 @@
     }
 }
 
-/// The row after `host` has leased it, under the next fencing number.
+/// Returns the row leased to `host` under the next fencing number.
 pub fn lease_chunk(row: &ChunkRow, host: &HostId) -> Result<ChunkRow, ChunkError> {
     if row.state() == ChunkState::Done {
         return Err(ChunkError::Done);
@@ -87,9 +88,10 @@
     }
 }
 
-/// The row after the results in `segment` were committed.
+/// Returns the row as done, with its results stored in `segment`.
 ///
-/// A holder that was paused past the takeover finds another fencing number and commits nothing.
+/// A holder that was paused until another host took the chunk over finds a higher fencing number in
+/// the row, and its commit is rejected.
 ///
 /// ```
 /// use cuminramp_batch::*;
@@ -119,28 +121,31 @@
     })
 }
 
-/// The row after its holder gave it back undone, as a host that leaves does.
+/// Returns the row as free, for a holder that gives up its lease without results, as a draining
+/// host does.
 pub fn release_chunk(row: &ChunkRow, holder: &LeaseHolder) -> Result<ChunkRow, ChunkError> {
     check_holder(row, holder)?;
     Ok(ChunkRow { state: ChunkState::Free.into(), ..row.clone() })
 }
 
-/// The row after targets died under items: the counts are kept, so that the next holder, too, runs
-/// them alone and they end after a bounded number of crashes, whoever runs them.
+/// Returns the row with the crash counts of items that crashed targets.
+///
+/// Because the counts are in the row, the next holder also runs these items one at a time, and each
+/// ends with an error after a bounded number of crashes over all holders.
 pub fn record_crashes(
     row: &ChunkRow,
     holder: &LeaseHolder,
-    suspects: &[SuspectItem],
+    crashed: &[SuspectItem],
 ) -> Result<ChunkRow, ChunkError> {
     check_holder(row, holder)?;
     let mut merged = row.suspects.clone();
-    for suspect in suspects {
-        match merged.iter_mut().find(|known| known.index == suspect.index) {
-            Some(known) => known.crashes = known.crashes.max(suspect.crashes),
-            None => merged.push(*suspect),
+    for item in crashed {
+        match merged.iter_mut().find(|recorded| recorded.index == item.index) {
+            Some(recorded) => recorded.crashes = recorded.crashes.max(item.crashes),
+            None => merged.push(*item),
         }
     }
-    merged.sort_by_key(|suspect| suspect.index);
+    merged.sort_by_key(|item| item.index);
     Ok(ChunkRow { suspects: merged, ..row.clone() })
 }
 
--- a/crates/cuminramp-batch/src/chunk/tests.rs
+++ b/crates/cuminramp-batch/src/chunk/tests.rs
@@ -13,7 +13,7 @@
     Lease(u64),
     Commit(usize),
     Release(usize),
-    Suspect(usize),
+    RecordCrash(usize),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -21,16 +21,16 @@
         (0..3u64).prop_map(Step::Lease),
         (0..6usize).prop_map(Step::Commit),
         (0..6usize).prop_map(Step::Release),
-        (0..6usize).prop_map(Step::Suspect),
+        (0..6usize).prop_map(Step::RecordCrash),
     ];
     proptest::collection::vec(step, 0..40)
 }
 
 proptest! {
-    // Hosts are paused with a lease in hand, others take over, and all of them try to commit, in
-    // any order. A second commit would give an item two results.
+    // Guards against a second commit of a chunk, which would give an item two results. Hosts are
+    // paused while they hold a lease, others take the chunk over, and all of them commit in any order.
     #[test]
-    fn only_the_last_lease_commits_and_only_once(steps in steps()) {
+    fn only_the_latest_lease_commits_and_only_once(steps in steps()) {
         let mut row = ChunkRow::default();
         let mut leases: Vec<LeaseHolder> = Vec::new();
         let mut commits = 0;
@@ -54,10 +54,10 @@
                     let Some(lease) = leases.get(index) else { continue };
                     row = release_chunk(&row, lease).unwrap_or(row);
                 }
-                Step::Suspect(index) => {
+                Step::RecordCrash(index) => {
                     let Some(lease) = leases.get(index) else { continue };
-                    let suspects = [SuspectItem { index: 1, crashes: 1 }];
-                    row = record_crashes(&row, lease, &suspects).unwrap_or(row);
+                    let crashed = [SuspectItem { index: 1, crashes: 1 }];
+                    row = record_crashes(&row, lease, &crashed).unwrap_or(row);
                 }
             }
         }
@@ -65,10 +65,10 @@
     }
 }
 
-// A poison item kills the engine of one host after another. Were its crashes counted by each
-// host for itself, every host would lose engines to it.
+// Guards against crash counts that are lost when a lease changes hands. A poison item crashes an
+// engine under each holder; if each host kept its own count, every host would lose engines to it.
 #[test]
-fn crashes_are_remembered_by_the_next_holder() {
+fn crash_counts_carry_over_to_the_next_holder() {
     let row = lease_chunk(&ChunkRow::default(), &host(1)).unwrap();
     let lease = LeaseHolder { host: host(1), fence: row.fence };
     let row = record_crashes(&row, &lease, &[SuspectItem { index: 4, crashes: 1 }]).unwrap();
