--- a/crates/cuminramp-batch/src/input.rs
+++ b/crates/cuminramp-batch/src/input.rs
@@ -1,31 +1,32 @@
-//! The file of JSON lines that a job is made of.
+//! Parser of a job's input, a file of JSON lines.
 
 use cuminramp_core::{Refusal, ResultCode};
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The endpoint that batch items may ask for.
+/// The only endpoint that batch items may call.
 const ALLOWED_URL: &str = "/v1/chat/completions";
-/// Characters of a bad line's identifier that are kept.
-const MOST_ID_CHARS: usize = 128;
+/// Maximum length, in characters, of the `custom_id` that is copied from an invalid line into its
+/// error.
+const MAX_ID_CHARS: usize = 128;
 
-/// One request of a job.
+/// One request of a batch job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BatchItem {
-    /// The caller's name for it.
+    /// Identifier that the caller gave the item.
     pub custom_id: String,
-    /// The model it asks for.
+    /// Name of the requested model.
     pub model: String,
-    /// The body to send.
+    /// Request body to send to the target, without `stream`.
     pub body: Value,
 }
 
-/// A line that can't run, with what is known of its name.
+/// Error of an input line that is invalid and is not run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ItemError {
-    /// The caller's name for it, or the line's number.
+    /// Identifier that the caller gave the item, or `line-` and the line number if it has none.
     pub custom_id: String,
-    /// What is wrong.
+    /// Refusal that is reported to the caller.
     pub refusal: Refusal,
 }
 
@@ -37,7 +38,7 @@
     body: Value,
 }
 
-/// Reads one line; `number` counts from 1.
+/// Parses one input line; `number` is its line number, from 1.
 ///
 /// ```
 /// let line = r#"{"custom_id": "a", "method": "POST", "url": "/v1/chat/completions", "body": {"model": "m"}}"#;
@@ -49,31 +50,32 @@
         custom_id,
         refusal: Refusal::not_run(ResultCode::LineMalformed, format!("line {number}: {reason}")),
     };
-    let nameless = format!("line-{number}");
+    let fallback_id = format!("line-{number}");
     let value: Value = serde_json::from_str(line)
-        .map_err(|error| item_error(nameless.clone(), error.to_string()))?;
-    let named = value.get("custom_id").and_then(Value::as_str);
-    let custom_id: String = named.unwrap_or(&nameless).chars().take(MOST_ID_CHARS).collect();
+        .map_err(|error| item_error(fallback_id.clone(), error.to_string()))?;
+    let given_id = value.get("custom_id").and_then(Value::as_str);
+    let custom_id: String = given_id.unwrap_or(&fallback_id).chars().take(MAX_ID_CHARS).collect();
     let input: InputLine = serde_json::from_value(value)
         .map_err(|error| item_error(custom_id.clone(), error.to_string()))?;
     if input.method != "POST" || input.url != ALLOWED_URL {
-        let reason = format!("only POST {ALLOWED_URL} can be asked for");
+        let reason = format!("only POST {ALLOWED_URL} is supported");
         return Err(item_error(custom_id, reason));
     }
     let Some(model) = input.body.get("model").and_then(Value::as_str) else {
-        return Err(item_error(custom_id, "the body names no model".into()));
+        return Err(item_error(custom_id, "the body has no model".into()));
     };
     let model = model.to_owned();
     let mut body = input.body;
-    // A batch item has one result, not a stream.
+    // An item has a single result in the output file, so its response must not be a stream.
     if let Some(fields) = body.as_object_mut() {
         fields.remove("stream");
     }
     Ok(BatchItem { custom_id: input.custom_id, model, body })
 }
 
-/// Reads all lines of a text, the first with number `first`; empty lines are passed over but
-/// counted.
+/// Parses all lines of `text`, of which the first has line number `first`.
+///
+/// Blank lines are skipped, but they count in the line numbers.
 pub fn parse_input(text: &str, first: usize) -> Vec<Result<BatchItem, ItemError>> {
     let lines = text.lines().enumerate();
     lines
--- a/crates/cuminramp-batch/src/layout.rs
+++ b/crates/cuminramp-batch/src/layout.rs
@@ -1,38 +1,41 @@
-//! How a job's items are cut into chunks.
+//! Splits a job's input file into chunks and names the keys of its rows.
 
 use serde::{Deserialize, Serialize};
 
-/// How many chunks a job should have, so that hosts can share it.
-const WANTED_CHUNKS: u32 = 64;
+/// Desired number of chunks of a job, so that many hosts can work on it at once.
+const DESIRED_CHUNKS: u32 = 64;
 
-/// Where a chunk lies in the job's input file.
+/// Range of a chunk in the job's input file.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ChunkPlace {
-    /// First byte.
+    /// Offset of the first byte.
     pub start: u64,
-    /// The byte after the last.
+    /// Offset of the byte after the last.
     pub end: u64,
-    /// Number of the first line, from 1.
+    /// Line number of the first line, from 1.
     pub first_line: u32,
-    /// Items in it; empty lines don't count.
+    /// Number of items; blank lines don't count.
     pub items: u32,
 }
 
-/// All chunks of a job. Written once as an object beside the input, so that a host can read just the
-/// part of the file that it works on.
+/// All chunks of a job.
+///
+/// The layout is written once as an object beside the input file, so that a host reads only the byte
+/// range of the chunk that it works on.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ChunkLayout {
-    /// The chunks in order.
+    /// Chunks in the order of the input file.
     pub chunks: Vec<ChunkPlace>,
-    /// Items in all.
+    /// Number of items in all chunks.
     pub items: u32,
 }
 
 impl ChunkLayout {
-    /// Cuts a file into chunks of between `least` and `most` items.
+    /// Splits an input file into chunks of `min_items` to `max_items` items; the last chunk may have
+    /// fewer.
     ///
-    /// A chunk costs the table two writes, so large jobs get large chunks; a small job gets small
-    /// ones, so that several hosts share it.
+    /// Each chunk takes two writes to the table, so a large job gets large chunks. A small job gets
+    /// small chunks, so that several hosts can work on it.
     ///
     /// ```
     /// let layout = cuminramp_batch::ChunkLayout::cut("a\n\nb\nc\n", 2, 2);
@@ -40,9 +43,9 @@
     /// assert_eq!(layout.chunks.len(), 2);
     /// assert_eq!(layout.chunks[1].first_line, 4);
     /// ```
-    pub fn cut(text: &str, least: u32, most: u32) -> Self {
+    pub fn cut(text: &str, min_items: u32, max_items: u32) -> Self {
         let items = text.lines().filter(|line| !line.trim().is_empty()).count() as u32;
-        let size = (items / WANTED_CHUNKS).clamp(least.max(1), most.max(1));
+        let size = (items / DESIRED_CHUNKS).clamp(min_items.max(1), max_items.max(1));
         let mut layout = ChunkLayout { chunks: Vec::new(), items };
         let mut place = ChunkPlace { start: 0, end: 0, first_line: 1, items: 0 };
         for (index, line) in text.split_inclusive('\n').enumerate() {
@@ -61,7 +64,7 @@
     }
 }
 
-/// The key of a job's row.
+/// Returns the key of a job's row.
 ///
 /// ```
 /// assert_eq!(cuminramp_batch::job_key("j"), "job/j");
@@ -70,7 +73,7 @@
     format!("job/{job}")
 }
 
-/// The key of the row that lists a job as open.
+/// Returns the key of the row that lists a job as open.
 ///
 /// ```
 /// assert_eq!(cuminramp_batch::open_key("j"), "open/j");
@@ -79,7 +82,7 @@
     format!("open/{job}")
 }
 
-/// The key of a chunk's row; keys of one job sort by chunk.
+/// Returns the key of a chunk's row; the keys of one job sort by chunk index.
 ///
 /// ```
 /// assert_eq!(cuminramp_batch::chunk_key("j", 7), "chunk/j/000007");
