--- a/crates/cuminramp-batch/src/lib.rs
+++ b/crates/cuminramp-batch/src/lib.rs
@@ -1,17 +1,18 @@
 //! Batch jobs: chunks, their leases and their commits.
 //!
-//! A job's items are cut into chunks. A row of the table says who works on a chunk, under which
-//! fencing number; the commit of its results names that number, so that of two hosts that worked on
-//! the same chunk only the one whose lease is the last can commit, and each item has one result.
+//! A job's items are split into chunks. Each chunk has a row in the table that records the host
+//! holding its lease and the lease's fencing number. A commit of results names that number, so when
+//! two hosts have run the same chunk, only the host with the latest lease can commit, and each item
+//! has exactly one result.
 //!
-//! - [`parse_input`] reads a file of JSON lines; a bad line gets its own error.
-//! - [`ChunkLayout`] cuts a job into chunks and knows where in the file each lies.
-//! - [`lease_chunk`], [`commit_chunk`], [`release_chunk`] and [`record_crashes`] are the steps of a
-//!   chunk's row.
-//! - [`JobPicker`] says which job a host works on next.
-//! - [`ItemOutcome`] is the line that a caller reads for an item.
+//! - [`parse_input`] parses a file of JSON lines and returns an error for each invalid line.
+//! - [`ChunkLayout`] splits a job into chunks and records each chunk's byte range in the input file.
+//! - [`lease_chunk`], [`commit_chunk`], [`release_chunk`] and [`record_crashes`] are the state
+//!   transitions of a chunk's row.
+//! - [`JobPicker`] selects the job that a host works on next.
+//! - [`ItemOutcome`] is an item's result and its line in the output or error file.
 //!
-//! `docs/design/batch.md` weighs the ways; `models/chunks.pml` checks the protocol.
+//! `docs/design/batch.md` compares the alternatives; `models/chunks.pml` checks the protocol.
 
 mod chunk;
 mod input;
--- a/crates/cuminramp-batch/src/outcome.rs
+++ b/crates/cuminramp-batch/src/outcome.rs
@@ -1,29 +1,30 @@
-//! The line that a caller reads for an item.
+//! An item's result and its line in the output or error file.
 
 use cuminramp_core::Refusal;
 use serde_json::{Value, json};
 
-/// How an item ended.
+/// Outcome of an item.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ItemOutcome {
-    /// With an answer.
+    /// A target returned a response.
     Answered {
-        /// Status of the target's answer.
+        /// HTTP status of the response.
         status: u16,
-        /// Its body.
+        /// Body of the response.
         body: Value,
     },
-    /// With an error of its own.
+    /// The item ended without a response, with this error.
     Failed(Refusal),
 }
 
 impl ItemOutcome {
-    /// Whether it belongs in the output file, and not in the error file.
+    /// Returns whether the outcome is a response with a 2xx status, which goes to the output file;
+    /// every other outcome goes to the error file.
     pub fn is_success(&self) -> bool {
         matches!(self, ItemOutcome::Answered { status, .. } if (200..300).contains(status))
     }
 
-    /// The JSON line, in the shape that OpenAI clients read.
+    /// Returns the outcome as a JSON line in the format of the OpenAI batch API.
     ///
     /// ```
     /// use cuminramp_batch::ItemOutcome;
--- a/crates/cuminramp-batch/src/picker.rs
+++ b/crates/cuminramp-batch/src/picker.rs
@@ -1,38 +1,39 @@
-//! Which job a host works on next.
+//! Selects the job that a host works on next.
 
 use cuminramp_core::{Name, SortedMap};
 
-/// A job with work left, as a host knows it.
+/// A job with chunks left to run, as listed by this host.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OpenJob {
-    /// Its identifier.
+    /// Identifier of the job.
     pub id: Name,
-    /// Its team.
+    /// Team that the job belongs to.
     pub team: Name,
-    /// The team's weight.
+    /// Weight of the team.
     pub weight: u32,
 }
 
-/// Shares a host's chunks among teams by weight, and a team's among its jobs in turn.
+/// Weighted fair scheduler of a host's chunks: teams share them by weight, and the jobs of one team
+/// share its part round-robin.
 ///
-/// Taken in order of arrival, a job of 84,000 items would hold one of 80 back until it ends.
+/// In order of arrival, a job of 84,000 items would delay a job of 80 items until it has ended.
 #[derive(Debug, Default)]
 pub struct JobPicker {
-    /// By team: items taken so far, divided by weight.
+    /// Items scheduled so far for each team, divided by its weight.
     served: SortedMap<Name, f64>,
-    /// By job: when it was last picked.
+    /// Value of `picks` when each job was last picked.
     picked: SortedMap<Name, u64>,
     picks: u64,
 }
 
 impl JobPicker {
-    /// Nothing has been picked yet.
+    /// Creates a picker without any recorded picks.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Orders jobs by whose turn it is: the team that got least for its weight first, and of its
-    /// jobs the one that was picked longest ago.
+    /// Returns the jobs in scheduling order: first the team with the fewest items for its weight, and
+    /// within a team the job that was picked least recently.
     ///
     /// ```
     /// use cuminramp_batch::{JobPicker, OpenJob};
@@ -43,8 +44,9 @@
     /// assert_eq!(&*picker.order(&jobs)[0].id, "small");
     /// ```
     pub fn order<'j>(&mut self, jobs: &'j [OpenJob]) -> Vec<&'j OpenJob> {
-        self.forget_closed(jobs);
-        // A team that comes back after a pause has no claim on what it did not use meanwhile.
+        self.remove_closed(jobs);
+        // A team without a count starts at the lowest count of the others. Starting at 0, a team that
+        // returns after a pause would be owed all the capacity it did not use in the meantime.
         let floor = jobs.iter().filter_map(|job| self.served.get(&*job.team)).copied();
         let floor = floor.fold(f64::INFINITY, f64::min);
         for job in jobs {
@@ -61,7 +63,7 @@
         ordered
     }
 
-    /// `items` of a job were taken on.
+    /// Records that `items` items of a job were scheduled on this host.
     pub fn note(&mut self, job: &OpenJob, items: u32) {
         self.picks += 1;
         self.picked.insert(job.id.clone(), self.picks);
@@ -69,7 +71,7 @@
         *self.served.get_or_insert_with(job.team.clone(), || 0.0) += share;
     }
 
-    fn forget_closed(&mut self, jobs: &[OpenJob]) {
+    fn remove_closed(&mut self, jobs: &[OpenJob]) {
         self.picked.retain(|id, _| jobs.iter().any(|job| job.id == *id));
         self.served.retain(|team, _| jobs.iter().any(|job| job.team == *team));
     }
