--- a/crates/cuminramp-routes/src/declarations.rs
+++ b/crates/cuminramp-routes/src/declarations.rs
@@ -1,4 +1,4 @@
-//! What operators write: the tables of routes and pools, and the teams.
+//! Declarations of routes, pools and teams, as operators write them, and their checks.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,40 +6,41 @@
 use cuminramp_core::{AvailabilityZone, Name};
 use serde::{Deserialize, Serialize};
 
-/// The widest rate or burst that a team can have.
+/// Maximum of a team's rate (requests or tokens a second) and of its burst (requests or tokens).
 const MAX_RATE: f64 = 1e9;
-/// The time-out of a route that names none, in milliseconds.
+/// Timeout of a route that declares none, in milliseconds.
 const DEFAULT_TIMEOUT_MS: u32 = 60_000;
-/// The slots of a target that names none.
+/// Slots of a target that declares none.
 const DEFAULT_SLOTS: u32 = 16;
-/// Paths that the daemon serves itself and no route may take.
+/// Path prefixes that the daemon serves itself; no route may use them.
 const RESERVED_PREFIXES: [&str; 2] = ["/v1", "/cuminramp"];
 
-/// One row of the table of routes: which kind of request goes to which pool.
+/// Rule that sends the requests for a model or path prefix to a pool.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Route {
-    /// The row's name.
+    /// Name of the route, unique over all routes.
     pub name: Name,
-    /// Requests for this model; or else `path-prefix` is set.
+    /// Model whose requests the route matches. Exactly one of `model` and `path-prefix` is set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<Name>,
-    /// Requests whose path starts so; or else `model` is set.
+    /// Prefix of the paths that the route matches, in whole segments. Exactly one of `model` and
+    /// `path-prefix` is set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub path_prefix: Option<Name>,
-    /// The pool that answers them.
+    /// Name of the pool whose targets serve the requests.
     pub pool: Name,
-    /// Whether a request may be sent to a second target after the first may have run it. Routes by
-    /// model repeat unless they say otherwise, routes by path don't.
+    /// Whether a request may be sent to a second target after the first may have run it. The default
+    /// is true for a route by model and false for a route by path.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeatable: Option<bool>,
-    /// How long a request may take as a whole, in milliseconds.
+    /// Timeout of a request as a whole, over all its attempts, in milliseconds.
     #[serde(default = "default_timeout")]
     pub timeout_ms: u32,
 }
 
 impl Route {
-    /// Whether its requests may be repeated.
+    /// Returns whether the route's requests may be repeated on another target.
     ///
     /// ```
     /// let text = r#"{"name": "r", "path-prefix": "/bookings", "pool": "p"}"#;
@@ -63,99 +64,100 @@
     1
 }
 
-/// What stands behind a pool.
+/// Kind of a pool's targets.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PoolKind {
-    /// Model engines.
+    /// Engines that run a model.
     #[default]
     Engines,
-    /// Plain services.
+    /// Services without a model.
     Services,
 }
 
-/// One row of the table of pools: which targets stand behind a name.
+/// Named set of targets.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Pool {
-    /// The pool's name.
+    /// Name of the pool, unique over all pools.
     pub name: Name,
-    /// Engines or services.
+    /// Whether the targets are engines or services.
     #[serde(default)]
     pub kind: PoolKind,
-    /// Its targets.
+    /// Targets of the pool.
     pub targets: Vec<Target>,
 }
 
-/// A back end.
+/// Backend that serves requests: an engine or an instance of a service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Target {
-    /// Its name, unique over all pools.
+    /// Name of the target, unique over all pools.
     pub name: Name,
-    /// Where it listens, `ip:port`.
+    /// Address that the target listens on, as `ip:port`.
     pub address: Name,
-    /// Its availability zone.
+    /// Availability zone of the target.
     #[serde(default)]
     pub zone: AvailabilityZone,
-    /// Whether it is to get no new work.
+    /// Whether the target is draining and gets no new work.
     #[serde(default)]
     pub leaving: bool,
-    /// How many requests it works on at once.
+    /// Number of requests that the target runs at once.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether the target rejects a request with an outdated fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
 }
 
-/// What a team's rate and burst count.
+/// Unit in which a team's rate and burst are counted.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Charge {
-    /// Each request costs one.
+    /// Each request costs 1.
     #[default]
     Requests,
-    /// Each request costs the most tokens that it may generate.
+    /// Each request costs the maximum number of tokens that it may generate.
     Tokens,
 }
 
-/// A customer, and what it pays for.
+/// Customer, with its rate limit and its weight.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Team {
-    /// Its name.
+    /// Name of the team, unique over all teams.
     pub name: Name,
-    /// Requests (or tokens) a second over all hosts.
+    /// Requests or tokens a second that all hosts together admit.
     pub rate: f64,
-    /// Requests (or tokens) at once over all hosts.
+    /// Requests or tokens that all hosts together admit at once.
     pub burst: f64,
-    /// Its share of idle capacity against other teams.
+    /// Weight by which the team shares idle capacity with other teams.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// What rate and burst count.
+    /// Unit of `rate` and `burst`.
     #[serde(default)]
     pub charge: Charge,
 }
 
-/// A whole declaration file.
+/// Contents of a declaration file.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Declarations {
-    /// The table of routes.
+    /// All routes.
     pub routes: Vec<Route>,
-    /// The table of pools.
+    /// All pools with their targets.
     pub pools: Vec<Pool>,
-    /// The teams.
+    /// All teams.
     pub teams: Vec<Team>,
 }
 
-/// Something wrong with a declaration, and where.
+/// An invalid declaration and its place in the file.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DeclarationError {
-    /// The place, as `routes[2].pool`.
+    /// Path of the invalid field, such as `routes[2].pool`, or `file` for malformed JSON, an unknown key
+    /// or a wrong type.
     pub place: String,
-    /// What is wrong.
+    /// Description of the error.
     pub reason: String,
 }
 
@@ -171,7 +173,10 @@
     }
 }
 
-/// Reads JSON with comments and checks it; on failure lists everything that is wrong.
+/// Parses a declaration file, JSON with comments, and checks it.
+///
+/// If the JSON matches the schema, the returned errors are all that [`Declarations::check`] finds, so
+/// that an operator can correct the file in one pass.
 ///
 /// ```
 /// let text = r#"{ "routes": [{"name": "r", "model": "m", "pool": "nowhere"}] }"#;
@@ -186,7 +191,7 @@
 }
 
 impl Declarations {
-    /// Lists everything that is wrong.
+    /// Returns every error in the declarations, not only the first.
     pub fn check(&self) -> Vec<DeclarationError> {
         let mut errors = Vec::new();
         self.check_names(&mut errors);
@@ -211,7 +216,7 @@
         for (index, route) in self.routes.iter().enumerate() {
             let place = |field: &str| format!("routes[{index}].{field}");
             if route.model.is_some() == route.path_prefix.is_some() {
-                let reason = "exactly one of model and path-prefix is needed";
+                let reason = "exactly one of model and path-prefix must be set";
                 errors.push(DeclarationError::new(place("model"), reason));
             }
             if let Some(prefix) = &route.path_prefix {
@@ -261,12 +266,10 @@
 
 fn check_prefix(place: String, prefix: &str, errors: &mut Vec<DeclarationError>) {
     if !prefix.starts_with('/') || prefix.len() < 2 {
-        errors.push(DeclarationError::new(place, "must start with / and go on"));
+        errors
+            .push(DeclarationError::new(place, "must start with / and have at least 2 characters"));
     } else if RESERVED_PREFIXES.iter().any(|reserved| prefix.starts_with(reserved)) {
-        errors.push(DeclarationError::new(
-            place,
-            format!("{prefix:?} is served by the daemon itself"),
-        ));
+        errors.push(DeclarationError::new(place, format!("{prefix:?} is reserved for the daemon")));
     }
 }
 
@@ -288,7 +291,7 @@
     for pair in seen.windows(2) {
         if pair[0].1 == pair[1].1 {
             let place = format!("{table}[{}].{field}", pair[1].0);
-            let reason = format!("{:?} stands already at {table}[{}]", pair[1].1, pair[0].0);
+            let reason = format!("{:?} is already used by {table}[{}]", pair[1].1, pair[0].0);
             errors.push(DeclarationError::new(place, reason));
         }
     }
