--- a/crates/cuminramp-routes/src/changes.rs
+++ b/crates/cuminramp-routes/src/changes.rs
@@ -1,4 +1,5 @@
-//! What differs between the declarations of an operator and the configuration in force.
+//! Differences between an operator's declarations and the configuration in force, and conversions
+//! between declarations and rows of the table.
 
 use cuminramp_core::{Name, SortedMap};
 use cuminramp_wire::rows::change::Entry;
@@ -9,10 +10,10 @@
 use crate::declarations::{Charge, Declarations, Pool, PoolKind, Route, Target, Team};
 use crate::{Configuration, KeyGrant};
 
-/// Thousandths in one.
+/// Thousandths per unit: rates and bursts are stored as integers in thousandths.
 const MILLI: f64 = 1_000.0;
 
-/// Lists the changes that turn `current` into `desired`; keys stay as they are.
+/// Returns the changes that turn `current` into `desired`. Keys aren't declared and stay unchanged.
 ///
 /// ```
 /// use cuminramp_routes::{Configuration, parse_declarations, plan_changes};
@@ -86,13 +87,13 @@
 impl From<&RouteEntry> for Route {
     fn from(entry: &RouteEntry) -> Self {
         let model = optional_name(&entry.model);
-        let usual = model.is_some();
+        let default_repeatable = model.is_some();
         Route {
             name: Name::from(entry.name.as_str()),
             model,
             path_prefix: optional_name(&entry.path_prefix),
             pool: Name::from(entry.pool.as_str()),
-            repeatable: (entry.repeatable != usual).then_some(entry.repeatable),
+            repeatable: (entry.repeatable != default_repeatable).then_some(entry.repeatable),
             timeout_ms: entry.timeout_ms,
         }
     }
@@ -182,7 +183,7 @@
 }
 
 impl KeyGrant {
-    /// The entry of a row for the key with `digest`.
+    /// Returns the table entry of the key with `digest`.
     pub fn to_entry(&self, digest: &cuminramp_core::KeyDigest) -> KeyEntry {
         KeyEntry {
             digest: digest.as_bytes().to_vec(),
--- a/crates/cuminramp-routes/src/configuration.rs
+++ b/crates/cuminramp-routes/src/configuration.rs
@@ -1,4 +1,4 @@
-//! What a host has in force.
+//! The configuration in force on a host.
 
 use std::fmt;
 
@@ -8,21 +8,21 @@
 
 use crate::declarations::{DeclarationError, Declarations, Pool, Route, Team};
 
-/// To which team a key belongs.
+/// Assignment of a key to a team.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeyGrant {
-    /// The team.
+    /// Team that requests with the key belong to.
     pub team: Name,
-    /// What operators call the key.
+    /// Name that operators gave the key.
     pub label: Name,
 }
 
-/// Why a change set can't follow.
+/// Reason why a change set can't be applied.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ApplyError {
-    /// Its generation is not above the one in force.
+    /// The set's generation is not above the one in force.
     Stale,
-    /// Changes before it are missing.
+    /// One or more generations between the one in force and the set's are missing.
     Gap,
 }
 
@@ -37,10 +37,10 @@
 
 impl std::error::Error for ApplyError {}
 
-/// Routes, pools, teams and keys at one generation; generation 0 is empty.
+/// Routes, pools, teams and keys of one generation. Generation 0 is empty.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Its number.
+    /// Number of the generation.
     pub generation: u64,
     /// Routes by name.
     pub routes: SortedMap<Name, Route>,
@@ -48,15 +48,15 @@
     pub pools: SortedMap<Name, Pool>,
     /// Teams by name.
     pub teams: SortedMap<Name, Team>,
-    /// Keys by digest.
+    /// Teams and labels of keys by the key's digest.
     pub keys: SortedMap<KeyDigest, KeyGrant>,
 }
 
 impl Configuration {
-    /// The configuration that `set` makes of this one.
+    /// Returns the configuration with `set` applied.
     ///
-    /// Only the next generation follows: a set that came late, twice or out of order changes
-    /// nothing, so what is in force never goes back.
+    /// Only the set of the next generation is applied. A set that arrives late, twice or out of order
+    /// is rejected, so the configuration in force never returns to an older generation.
     ///
     /// ```
     /// use cuminramp_routes::{ApplyError, Configuration};
@@ -121,7 +121,9 @@
         }
     }
 
-    /// Reads a key's entry, sharing the name with the team where the team is known.
+    /// Converts a key's entry, or returns `None` if its digest is malformed.
+    ///
+    /// The grant shares the name of a declared team, so that many keys of a team don't each store a copy.
     fn read_key(&self, entry: &KeyEntry) -> Option<(KeyDigest, KeyGrant)> {
         let digest = KeyDigest::from_bytes(&entry.digest)?;
         let team = match self.teams.get(entry.team.as_str()) {
@@ -131,7 +133,7 @@
         Some((digest, KeyGrant { team, label: Name::from(entry.label.as_str()) }))
     }
 
-    /// Everything in force, as one message.
+    /// Returns the whole configuration as one message.
     pub fn to_snapshot(&self) -> Snapshot {
         Snapshot {
             generation: self.generation,
@@ -142,7 +144,7 @@
         }
     }
 
-    /// The configuration of a snapshot.
+    /// Creates the configuration that a snapshot contains.
     ///
     /// ```
     /// use cuminramp_routes::Configuration;
@@ -165,7 +167,7 @@
         configuration
     }
 
-    /// The declarations that describe it; keys are left out.
+    /// Returns the declarations of this configuration, which contain no keys.
     pub fn to_declarations(&self) -> Declarations {
         Declarations {
             routes: self.routes.values().cloned().collect(),
@@ -174,11 +176,11 @@
         }
     }
 
-    /// What is wrong with it as a whole: as in a declaration, and keys of unknown teams.
+    /// Returns every error: those of [`Declarations::check`], and keys whose team is not declared.
     pub fn check(&self) -> Vec<DeclarationError> {
-        let mut faults = self.to_declarations().check();
+        let mut errors = self.to_declarations().check();
         for grant in self.keys.values().filter(|grant| !self.teams.contains_key(&*grant.team)) {
-            faults.push(DeclarationError {
+            errors.push(DeclarationError {
                 place: format!("keys[{}]", grant.label),
                 reason: format!(
                     "its team {:?} is not declared; withdraw the key first",
@@ -186,13 +188,13 @@
                 ),
             });
         }
-        faults
+        errors
     }
 
-    /// The team whose key has `digest`.
+    /// Returns the grant of the key with `digest`.
     ///
-    /// The search bisects digests, which tell nothing of the key; the last comparison takes the
-    /// same time wherever the digests differ.
+    /// The timing of the binary search depends on digests, which reveal nothing about the key. The
+    /// final comparison is constant-time: it doesn't depend on where two digests differ.
     pub fn find_key(&self, digest: &KeyDigest) -> Option<&KeyGrant> {
         let (found, grant) = self.keys.get_entry(digest)?;
         found.matches(digest).then_some(grant)
--- a/crates/cuminramp-routes/src/generation_log.rs
+++ b/crates/cuminramp-routes/src/generation_log.rs
@@ -1,4 +1,5 @@
-//! The last change sets, kept so that a peer that is a little behind gets only what it lacks.
+//! Log of the latest change sets, from which a peer that is slightly behind catches up without a
+//! snapshot.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,18 +8,18 @@
 
 use crate::Configuration;
 
-/// What brings a peer up to date.
+/// Updates that bring a peer to the generation in force.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CatchUp {
-    /// It lacks nothing.
+    /// The peer is up to date.
     Nothing,
-    /// These sets, in order.
+    /// The change sets that the peer is missing, in order.
     Changes(Vec<Arc<ChangeSet>>),
-    /// It is too far behind: everything.
+    /// The log doesn't cover every generation that the peer is missing; it needs a snapshot.
     Snapshot,
 }
 
-/// The last change sets that were taken, oldest first, without a gap.
+/// The latest change sets that were applied, oldest first, without a gap between generations.
 #[derive(Clone, Debug, Default)]
 pub struct GenerationLog {
     sets: VecDeque<Arc<ChangeSet>>,
@@ -26,7 +27,7 @@
 }
 
 impl GenerationLog {
-    /// A log of the last `capacity` sets.
+    /// Creates a log that keeps the last `capacity` sets.
     ///
     /// ```
     /// use cuminramp_routes::{CatchUp, Configuration, GenerationLog};
@@ -37,7 +38,10 @@
         GenerationLog { sets: VecDeque::new(), capacity }
     }
 
-    /// Adds the set that was just taken; a gap, as after a snapshot, empties the log first.
+    /// Appends the set that was just applied and drops the oldest above the capacity.
+    ///
+    /// If the set doesn't follow the last one, as after a snapshot, the log is cleared first: a peer that
+    /// applied sets across a gap would miss changes.
     pub fn push(&mut self, set: Arc<ChangeSet>) {
         if self.sets.back().is_some_and(|last| last.generation + 1 != set.generation) {
             self.sets.clear();
@@ -48,7 +52,7 @@
         }
     }
 
-    /// What a peer lacks that has everything up to `after`.
+    /// Returns the updates for a peer whose generation is `after`.
     pub fn catch_up(&self, current: &Configuration, after: u64) -> CatchUp {
         if after >= current.generation {
             return CatchUp::Nothing;
--- a/crates/cuminramp-routes/src/lib.rs
+++ b/crates/cuminramp-routes/src/lib.rs
@@ -1,9 +1,10 @@
-//! Routes, pools, teams and keys as numbered generations, and the planner that reads them.
+//! Routes, pools, teams and keys as numbered generations, and the planner that matches requests to
+//! routes.
 //!
-//! Operators write [`Declarations`]; what differs from the generation in force becomes a change
-//! set, which the table accepts under the next number. [`Configuration`] is what a host has in
-//! force: it only ever takes the change set that follows its own generation, or a snapshot of a
-//! higher one, so it never goes back.
+//! Operators write [`Declarations`]. Their differences from the generation in force become a change
+//! set, which is stored in the table under the next generation number. [`Configuration`] is the
+//! generation in force on a host. It is replaced only by the change set of the next generation or by
+//! a snapshot of a later one, so a host never returns to an older generation.
 
 mod changes;
 mod configuration;
