--- a/crates/cuminramp-routes/src/planner.rs
+++ b/crates/cuminramp-routes/src/planner.rs
@@ -1,19 +1,19 @@
-//! Which route a request takes.
+//! Matches requests to routes.
 
 use cuminramp_core::{Name, SortedMap};
 
 use crate::{Configuration, Route};
 
-/// What a request is matched by.
+/// Property of a request by which its route is selected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteQuery<'a> {
-    /// The model that the body names.
+    /// Model named in the request body.
     Model(&'a str),
-    /// The path of a call to a plain service.
+    /// Path of a request to a service.
     Path(&'a str),
 }
 
-/// Routes indexed by what they match.
+/// Index of route names by model and by path prefix.
 #[derive(Clone, Debug, Default)]
 pub struct RoutePlanner {
     by_model: SortedMap<Name, Name>,
@@ -30,9 +30,10 @@
         RoutePlanner { by_model: models.collect(), by_prefix: prefixes.collect() }
     }
 
-    /// The route for `query`: the model's own, or the one with the longest matching prefix.
+    /// Returns the route for `query`: the route of the model, or the one with the longest path prefix
+    /// that matches.
     ///
-    /// A prefix matches whole segments: `/bookings` matches `/bookings/7` and not `/bookings2`.
+    /// A prefix matches whole segments: `/bookings` matches `/bookings/7` but not `/bookings2`.
     ///
     /// ```
     /// use cuminramp_routes::{Configuration, RoutePlanner, RouteQuery};
@@ -52,7 +53,7 @@
         configuration.routes.get(&**name)
     }
 
-    /// The models that have a route, sorted.
+    /// Returns the models that have a route, sorted.
     pub fn models(&self) -> impl Iterator<Item = &Name> {
         self.by_model.keys()
     }
--- a/crates/cuminramp-routes/src/planner/tests.rs
+++ b/crates/cuminramp-routes/src/planner/tests.rs
@@ -33,7 +33,7 @@
 #[test_case(RouteQuery::Path("/bookings/seats/7"), Some("seats"))]
 #[test_case(RouteQuery::Path("/bookings2"), None)]
 #[test_case(RouteQuery::Path("/"), None)]
-fn a_query_takes_the_route_that_matches_most(query: RouteQuery<'_>, expected: Option<&str>) {
+fn the_most_specific_route_is_selected(query: RouteQuery<'_>, expected: Option<&str>) {
     let configuration = configuration();
     let planner = RoutePlanner::new(&configuration);
 
--- a/crates/cuminramp-routes/src/withdrawals.rs
+++ b/crates/cuminramp-routes/src/withdrawals.rs
@@ -1,24 +1,25 @@
-//! Keys withdrawn ahead of the table.
+//! Keys whose withdrawal is in force before it is in the table.
 
 use cuminramp_core::{KeyDigest, hash_parts};
 
-/// Keys that were withdrawn and whose withdrawal is not in the generation in force yet.
+/// Withdrawn keys whose withdrawal is not in the generation in force yet.
 ///
-/// While the table is down no generation can be accepted, and a key whose owner lost it would go on
-/// working. So a withdrawal first joins this set, which only grows until the table has taken it and
-/// which hosts merge: it spreads without the table, in any order, and can't be undone by a repeat.
+/// While the table is unreachable, no generation can be accepted, and a key that its owner lost would
+/// stay valid. A withdrawal is therefore added to this set first, and hosts merge each other's sets. A
+/// digest stays in the set until its withdrawal is in the table, so withdrawals spread without the
+/// table and in any order, and a repeated message can't undo one.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct WithdrawalSet {
     digests: Vec<KeyDigest>,
 }
 
 impl WithdrawalSet {
-    /// An empty set.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a digest; says whether it is new.
+    /// Adds a digest; returns whether it is new.
     ///
     /// ```
     /// use cuminramp_core::KeyDigest;
@@ -37,22 +38,22 @@
         }
     }
 
-    /// Whether a key is in it.
+    /// Returns whether the key with `digest` is in the set.
     pub fn contains(&self, digest: &KeyDigest) -> bool {
         self.digests.binary_search(digest).is_ok()
     }
 
-    /// Forgets the digests that `written` says the table has taken.
+    /// Removes the digests for which `written` returns true: their withdrawal is in the table.
     pub fn retain_unwritten(&mut self, written: impl Fn(&KeyDigest) -> bool) {
         self.digests.retain(|digest| !written(digest));
     }
 
-    /// The digests, sorted.
+    /// Returns the digests, sorted.
     pub fn digests(&self) -> &[KeyDigest] {
         &self.digests
     }
 
-    /// A number that differs where two sets do; 0 for an empty one.
+    /// Returns a hash by which hosts detect that their sets differ; 0 for an empty set.
     pub fn digest_hash(&self) -> u64 {
         if self.digests.is_empty() {
             return 0;
