--- a/crates/cuminramp-batch/src/chunk.rs
+++ b/crates/cuminramp-batch/src/chunk.rs
@@ -128,7 +128,7 @@
     Ok(ChunkRow { state: ChunkState::Free.into(), ..row.clone() })
 }
 
-/// Returns the row with the crash counts of items that crashed targets.
+/// Returns the row with the crash counts of items that were in flight when a target crashed.
 ///
 /// Because the counts are in the row, the next holder also runs these items one at a time, and each
 /// ends with an error after a bounded number of crashes over all holders.
