--- a/crates/cuminramp-settings/src/check.rs
+++ b/crates/cuminramp-settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Reads settings and lists everything that is wrong with them.
+//! Parses settings and collects every error in them.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,88 +8,93 @@
 
 use crate::DaemonSettings;
 
-/// The levels a log can have.
+/// Valid values of `log-level`.
 pub(crate) const LOG_LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
-/// Under this a host that is merely busy would take itself for paused.
-const LEAST_LIST_LAG_MS: u64 = 2_000;
+/// Minimum of `platform.list-lag-ms`. A host treats itself as paused after a fraction of that time;
+/// below this minimum, a host that is only busy would do so.
+const MIN_LIST_LAG_MS: u64 = 2_000;
 
-/// Something wrong with a setting, and where.
+/// An invalid setting and its place.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct SettingsFault {
-    /// The place, as `peers.probe-interval-ms`, or the line and column of broken JSON.
+pub struct SettingsError {
+    /// Path of the setting, such as `peers.probe-interval-ms`, or line and column of malformed JSON.
     pub place: String,
-    /// What is wrong.
+    /// Description of the error.
     pub reason: String,
 }
 
-impl SettingsFault {
+impl SettingsError {
     pub(crate) fn new(place: impl Into<String>, reason: impl Into<String>) -> Self {
-        SettingsFault { place: place.into(), reason: reason.into() }
+        SettingsError { place: place.into(), reason: reason.into() }
     }
 }
 
-impl fmt::Display for SettingsFault {
+impl fmt::Display for SettingsError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let code = ResultCode::SettingsInvalid;
         write!(formatter, "{code}: {}: {}", self.place, self.reason)
     }
 }
 
-/// Reads JSON with comments; what is not named has its default. Fails with every fault found.
+/// Parses the settings of a daemon, JSON with comments; a setting that is not given has its default.
+///
+/// On failure, returns every unknown key and wrong type, or, if there are none, every value that is
+/// out of bounds.
 ///
 /// ```
-/// let faults = cuminramp_settings::parse_settings(r#"{ "peers": {"probe-ms": 1}, "log-level": 3 }"#)
+/// let errors = cuminramp_settings::parse_settings(r#"{ "peers": {"probe-ms": 1}, "log-level": 3 }"#)
 ///     .unwrap_err();
-/// assert_eq!(faults.len(), 2);
-/// assert_eq!(faults[0].place, "log-level");
+/// assert_eq!(errors.len(), 2);
+/// assert_eq!(errors[0].place, "log-level");
 /// ```
-pub fn parse_settings(text: &str) -> Result<DaemonSettings, Vec<SettingsFault>> {
-    let given: Value = serde_jsonc::from_str(text).map_err(|error| syntax_fault(&error))?;
-    let usual = serde_json::to_value(DaemonSettings::default())
-        .map_err(|error| vec![SettingsFault::new("defaults", error.to_string())])?;
-    let mut faults = Vec::new();
-    check_shape(&usual, &given, "", &mut faults);
-    if !faults.is_empty() {
-        return Err(faults);
+pub fn parse_settings(text: &str) -> Result<DaemonSettings, Vec<SettingsError>> {
+    let given: Value = serde_jsonc::from_str(text).map_err(|error| syntax_error(&error))?;
+    let defaults = serde_json::to_value(DaemonSettings::default())
+        .map_err(|error| vec![SettingsError::new("defaults", error.to_string())])?;
+    let mut errors = Vec::new();
+    check_shape(&defaults, &given, "", &mut errors);
+    if !errors.is_empty() {
+        return Err(errors);
     }
     let settings: DaemonSettings = serde_json::from_value(given)
-        .map_err(|error| vec![SettingsFault::new("settings", error.to_string())])?;
-    check_values(&settings, &mut faults);
-    if faults.is_empty() { Ok(settings) } else { Err(faults) }
+        .map_err(|error| vec![SettingsError::new("settings", error.to_string())])?;
+    check_values(&settings, &mut errors);
+    if errors.is_empty() { Ok(settings) } else { Err(errors) }
 }
 
-pub(crate) fn syntax_fault(error: &serde_jsonc::Error) -> Vec<SettingsFault> {
+pub(crate) fn syntax_error(error: &serde_jsonc::Error) -> Vec<SettingsError> {
     let place = format!("line {} column {}", error.line(), error.column());
-    vec![SettingsFault::new(place, error.to_string())]
+    vec![SettingsError::new(place, error.to_string())]
 }
 
-/// Compares the shape of what is given with that of the defaults.
+/// Adds an error for each key of `given` that the defaults don't have, and for each value whose type
+/// differs from the default's.
 pub(crate) fn check_shape(
-    usual: &Value,
+    default: &Value,
     given: &Value,
     place: &str,
-    faults: &mut Vec<SettingsFault>,
+    errors: &mut Vec<SettingsError>,
 ) {
-    let (Value::Object(usual_map), Value::Object(given_map)) = (usual, given) else {
-        if !same_type(usual, given) {
-            let reason = format!("must be {}, not {}", type_name(usual), type_name(given));
-            faults.push(SettingsFault::new(place, reason));
+    let (Value::Object(default_map), Value::Object(given_map)) = (default, given) else {
+        if !same_type(default, given) {
+            let reason = format!("must be {}, not {}", type_name(default), type_name(given));
+            errors.push(SettingsError::new(place, reason));
         }
         return;
     };
     for (key, value) in given_map {
         let inner = if place.is_empty() { key.clone() } else { format!("{place}.{key}") };
-        match usual_map.get(key) {
-            Some(known) => check_shape(known, value, &inner, faults),
-            None => faults.push(SettingsFault::new(inner, "is no setting")),
+        match default_map.get(key) {
+            Some(default) => check_shape(default, value, &inner, errors),
+            None => errors.push(SettingsError::new(inner, "is not a setting")),
         }
     }
 }
 
-fn same_type(usual: &Value, given: &Value) -> bool {
-    match (usual, given) {
-        (Value::Number(usual), Value::Number(given)) => usual.is_f64() || given.is_u64(),
+fn same_type(default: &Value, given: &Value) -> bool {
+    match (default, given) {
+        (Value::Number(default), Value::Number(given)) => default.is_f64() || given.is_u64(),
         (Value::String(_), Value::String(_))
         | (Value::Bool(_), Value::Bool(_))
         | (Value::Array(_), Value::Array(_)) => true,
@@ -109,23 +114,27 @@
     }
 }
 
-fn check_values(settings: &DaemonSettings, faults: &mut Vec<SettingsFault>) {
-    check_addresses(settings, faults);
-    check_numbers(settings, faults);
+fn check_values(settings: &DaemonSettings, errors: &mut Vec<SettingsError>) {
+    check_addresses(settings, errors);
+    check_numbers(settings, errors);
     if !LOG_LEVELS.contains(&settings.log_level.as_str()) {
-        let reason = format!("must be one of {}", LOG_LEVELS.join(", "));
-        faults.push(SettingsFault::new("log-level", reason));
+        let reason =
+            format!("must be one of {}, not {:?}", LOG_LEVELS.join(", "), settings.log_level);
+        errors.push(SettingsError::new("log-level", reason));
     }
     if settings.availability_zone.is_empty() {
-        faults.push(SettingsFault::new("availability-zone", "must not be empty"));
+        errors.push(SettingsError::new("availability-zone", "must not be empty"));
     }
     if settings.batch.min_chunk_items > settings.batch.max_chunk_items {
-        let reason = "must not be above batch.max-chunk-items";
-        faults.push(SettingsFault::new("batch.min-chunk-items", reason));
+        let reason = format!(
+            "must be at most batch.max-chunk-items ({}), not {}",
+            settings.batch.max_chunk_items, settings.batch.min_chunk_items
+        );
+        errors.push(SettingsError::new("batch.min-chunk-items", reason));
     }
 }
 
-fn check_addresses(settings: &DaemonSettings, faults: &mut Vec<SettingsFault>) {
+fn check_addresses(settings: &DaemonSettings, errors: &mut Vec<SettingsError>) {
     let needed = [
         ("caller-address", &settings.caller_address),
         ("operator-address", &settings.operator_address),
@@ -139,12 +148,12 @@
     let given = optional.into_iter().filter(|(_, address)| !address.is_empty());
     for (place, address) in needed.into_iter().chain(given) {
         if address.parse::<SocketAddr>().is_err() {
-            faults.push(SettingsFault::new(place, format!("{address:?} is not ip:port")));
+            errors.push(SettingsError::new(place, format!("{address:?} is not ip:port")));
         }
     }
 }
 
-fn check_numbers(settings: &DaemonSettings, faults: &mut Vec<SettingsFault>) {
+fn check_numbers(settings: &DaemonSettings, errors: &mut Vec<SettingsError>) {
     let above_zero = [
         ("platform.timeout-ms", settings.platform.timeout_ms),
         ("limits.max-body-bytes", settings.limits.max_body_bytes as u64),
@@ -175,12 +184,13 @@
     ];
     for (place, value) in above_zero {
         if value == 0 {
-            faults.push(SettingsFault::new(place, "must be above 0"));
+            errors.push(SettingsError::new(place, "must be above 0, not 0"));
         }
     }
-    if settings.platform.list_lag_ms < LEAST_LIST_LAG_MS {
-        let reason = format!("must be at least {LEAST_LIST_LAG_MS}");
-        faults.push(SettingsFault::new("platform.list-lag-ms", reason));
+    if settings.platform.list_lag_ms < MIN_LIST_LAG_MS {
+        let given = settings.platform.list_lag_ms;
+        let reason = format!("must be at least {MIN_LIST_LAG_MS}, not {given}");
+        errors.push(SettingsError::new("platform.list-lag-ms", reason));
     }
     let shares = [
         ("targets.eject-share", settings.targets.eject_share),
@@ -189,14 +199,16 @@
     ];
     for (place, value) in shares {
         if !(0.0..=1.0).contains(&value) {
-            faults.push(SettingsFault::new(place, "must be from 0 to 1"));
+            errors.push(SettingsError::new(place, format!("must be from 0 to 1, not {value:?}")));
         }
     }
     if settings.quota.slice_rate <= 0.0 {
-        faults.push(SettingsFault::new("quota.slice-rate", "must be above 0"));
+        let reason = format!("must be above 0, not {:?}", settings.quota.slice_rate);
+        errors.push(SettingsError::new("quota.slice-rate", reason));
     }
     if settings.targets.slot_factor <= 0.0 {
-        faults.push(SettingsFault::new("targets.slot-factor", "must be above 0"));
+        let reason = format!("must be above 0, not {:?}", settings.targets.slot_factor);
+        errors.push(SettingsError::new("targets.slot-factor", reason));
     }
 }
 
--- a/crates/cuminramp-settings/src/check/tests.rs
+++ b/crates/cuminramp-settings/src/check/tests.rs
@@ -4,7 +4,7 @@
 use crate::DaemonSettings;
 
 #[test]
-fn no_settings_mean_the_defaults() {
+fn settings_that_are_not_given_have_their_defaults() {
     let settings = parse_settings("// nothing\n{}").unwrap();
 
     assert_eq!(settings, DaemonSettings::default());
@@ -17,10 +17,10 @@
 #[test_case(r#"{"caller-address": "host:1"}"#, "caller-address"; "not an ip")]
 #[test_case(r#"{"quota": {"shards": 0}}"#, "quota.shards"; "zero")]
 #[test_case(r#"{"targets": {"eject-share": 1.5}}"#, "targets.eject-share"; "share above one")]
-#[test_case("{\n\"peers\": {", "line 2 column 10"; "broken json")]
-fn a_fault_names_its_place(text: &str, place: &str) {
-    let faults = parse_settings(text).unwrap_err();
+#[test_case("{\n\"peers\": {", "line 2 column 10"; "malformed json")]
+fn an_error_names_its_place(text: &str, place: &str) {
+    let errors = parse_settings(text).unwrap_err();
 
-    assert_eq!(faults[0].place, place);
-    assert!(faults[0].to_string().starts_with("1502 "));
+    assert_eq!(errors[0].place, place);
+    assert!(errors[0].to_string().starts_with("1502 "));
 }
--- a/crates/cuminramp-settings/src/gateway.rs
+++ b/crates/cuminramp-settings/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Settings of a host that serves a shared fleet.
+//! Settings of a gateway, a host that serves a shared fleet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,58 +6,59 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::check::{LOG_LEVELS, SettingsFault, check_shape, syntax_fault};
+use crate::check::{LOG_LEVELS, SettingsError, check_shape, syntax_error};
 
-/// Everything a gateway can be set to.
+/// Settings of a gateway.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct GatewaySettings {
-    /// The host's name in logs.
+    /// Name of the host in logs.
     pub name: String,
-    /// The availability zone that it stands in.
+    /// Availability zone of the host.
     pub availability_zone: String,
-    /// Where callers connect, `ip:port`.
+    /// Address that callers connect to, as `ip:port`.
     pub caller_address: String,
-    /// Where the platform asks whether it takes callers, `ip:port`.
+    /// Address at which the platform checks whether the host accepts callers, as `ip:port`.
     pub readiness_address: String,
-    /// Where callers ask which hosts to use, `ip:port`.
+    /// Address at which callers look up the hosts to use (steering), as `ip:port`.
     pub steering_address: String,
-    /// Where other hosts reach it, over UDP for heartbeats and TCP for calls, `ip:port`.
+    /// Address for other hosts, as `ip:port`: UDP for heartbeats, TCP for calls.
     pub peer_address: String,
-    /// Where metrics are served, `ip:port`.
+    /// Address that serves metrics, as `ip:port`.
     pub metrics_address: String,
-    /// Hosts that may know others, `ip:port`; only the addresses count, ports are those of
-    /// `peer-address`.
+    /// Hosts through which this host may find others, as `ip:port`. Only the IP addresses are used; the
+    /// port is that of `peer-address`.
     pub seeds: Vec<String>,
-    /// The platform's store, `ip:port`.
+    /// Address of the platform's store, as `ip:port`.
     pub store_address: String,
-    /// One of `error`, `warn`, `info`, `debug`, `trace`.
+    /// Lowest level of log lines: `error`, `warn`, `info`, `debug` or `trace`.
     pub log_level: String,
-    /// Seconds from SIGTERM until the process has to be gone.
+    /// Seconds from SIGTERM until the process must have exited.
     pub grace_s: f64,
-    /// Seconds that callers may keep a steering answer.
+    /// Seconds for which callers may cache a steering answer.
     pub steering_keep_s: f64,
-    /// Part by which a team may exceed what its rate and burst allow in a window; 0 for nothing.
+    /// Share by which a team's requests in a window may exceed what its rate and burst allow; 0 for none.
     pub rate_tolerance_share: f64,
-    /// Requests by which it may exceed that beside.
+    /// Number of requests by which a team may exceed its limit in a window, in addition to
+    /// `rate-tolerance-share`.
     pub rate_tolerance_requests: f64,
-    /// The window, in seconds.
+    /// Length of the window in which the rate tolerance applies, in seconds.
     pub rate_window_s: f64,
-    /// The region of each availability zone. Targets in a zone that is not named run no work of routes or
-    /// teams that name home regions.
+    /// Region of each availability zone. Targets in a zone that is not listed run no work of routes or
+    /// teams with home regions.
     pub zone_regions: Vec<ZoneRegion>,
-    /// Factor by which a cold target may get more requests a second than declared.
+    /// Factor by which the rate of requests to a cold target (slow start) may exceed the declared rate.
     pub cold_tolerance_factor: f64,
-    /// Requests in a second by which it may get more beside.
+    /// Requests a second that a cold target may get in addition to `cold-tolerance-factor`.
     pub cold_tolerance_requests: f64,
 }
 
-/// The region of one availability zone.
+/// Region of one availability zone.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ZoneRegion {
-    /// The zone.
+    /// Name of the availability zone.
     pub zone: String,
-    /// The region.
+    /// Name of the region.
     pub region: String,
 }
 
@@ -87,42 +88,45 @@
 }
 
 impl GatewaySettings {
-    /// How long it has from SIGTERM until it has to be gone.
+    /// Returns the time from SIGTERM until the process must have exited.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.grace_s)
     }
 }
 
-/// Reads JSON with comments; what is not named has its default. Fails with every fault found.
+/// Parses the settings of a gateway, JSON with comments; a setting that is not given has its default.
+///
+/// On failure, returns every unknown key and wrong type, or, if there are none, every value that is
+/// out of bounds.
 ///
 /// ```
 /// let settings = cuminramp_settings::parse_gateway_settings(r#"{ "grace-s": 5 }"#).unwrap();
 /// assert_eq!(settings.grace().as_secs(), 5);
-/// let faults = cuminramp_settings::parse_gateway_settings(r#"{ "grace": 5 }"#).unwrap_err();
-/// assert_eq!(faults[0].place, "grace");
+/// let errors = cuminramp_settings::parse_gateway_settings(r#"{ "grace": 5 }"#).unwrap_err();
+/// assert_eq!(errors[0].place, "grace");
 /// ```
-pub fn parse_gateway_settings(text: &str) -> Result<GatewaySettings, Vec<SettingsFault>> {
-    let given: Value = serde_jsonc::from_str(text).map_err(|error| syntax_fault(&error))?;
-    let usual = serde_json::to_value(GatewaySettings::default())
-        .map_err(|error| vec![SettingsFault::new("defaults", error.to_string())])?;
-    let mut faults = Vec::new();
-    check_shape(&usual, &given, "", &mut faults);
-    if !faults.is_empty() {
-        return Err(faults);
+pub fn parse_gateway_settings(text: &str) -> Result<GatewaySettings, Vec<SettingsError>> {
+    let given: Value = serde_jsonc::from_str(text).map_err(|error| syntax_error(&error))?;
+    let defaults = serde_json::to_value(GatewaySettings::default())
+        .map_err(|error| vec![SettingsError::new("defaults", error.to_string())])?;
+    let mut errors = Vec::new();
+    check_shape(&defaults, &given, "", &mut errors);
+    if !errors.is_empty() {
+        return Err(errors);
     }
     let settings: GatewaySettings = serde_json::from_value(given)
-        .map_err(|error| vec![SettingsFault::new("settings", error.to_string())])?;
-    check_values(&settings, &mut faults);
-    if faults.is_empty() { Ok(settings) } else { Err(faults) }
+        .map_err(|error| vec![SettingsError::new("settings", error.to_string())])?;
+    check_values(&settings, &mut errors);
+    if errors.is_empty() { Ok(settings) } else { Err(errors) }
 }
 
-/// The longest time that can be set, in seconds: a day. Above what a duration can hold, the daemon
-/// would stop at its start without saying which setting is wrong.
-const LONGEST_TIME_S: f64 = 86_400.0;
-/// The shortest, in seconds: what the runtime's timers can tell apart.
-const SHORTEST_TIME_S: f64 = 0.001;
+/// Maximum of a time, in seconds: one day. A time too long for a `Duration` would panic at startup
+/// without naming the setting.
+const MAX_TIME_S: f64 = 86_400.0;
+/// Minimum of a time, in seconds: the resolution of the runtime's timers.
+const MIN_TIME_S: f64 = 0.001;
 
-fn check_values(settings: &GatewaySettings, faults: &mut Vec<SettingsFault>) {
+fn check_values(settings: &GatewaySettings, errors: &mut Vec<SettingsError>) {
     let addresses = [
         ("caller-address", &settings.caller_address),
         ("readiness-address", &settings.readiness_address),
@@ -134,15 +138,16 @@
     let seeds = settings.seeds.iter().map(|seed| ("seeds", seed));
     for (place, address) in addresses.into_iter().chain(seeds) {
         if address.parse::<SocketAddr>().is_err() {
-            faults.push(SettingsFault::new(place, format!("{address:?} is not ip:port")));
+            errors.push(SettingsError::new(place, format!("{address:?} is not ip:port")));
         }
     }
     if !LOG_LEVELS.contains(&settings.log_level.as_str()) {
-        let reason = format!("must be one of {}", LOG_LEVELS.join(", "));
-        faults.push(SettingsFault::new("log-level", reason));
+        let reason =
+            format!("must be one of {}, not {:?}", LOG_LEVELS.join(", "), settings.log_level);
+        errors.push(SettingsError::new("log-level", reason));
     }
     if settings.availability_zone.is_empty() {
-        faults.push(SettingsFault::new("availability-zone", "must not be empty"));
+        errors.push(SettingsError::new("availability-zone", "must not be empty"));
     }
     let tolerances = [
         ("rate-tolerance-share", settings.rate_tolerance_share),
@@ -152,18 +157,18 @@
     ];
     for (place, value) in tolerances {
         if value < 0.0 {
-            faults.push(SettingsFault::new(place, "must not be below 0"));
+            errors.push(SettingsError::new(place, format!("must be at least 0, not {value:?}")));
         }
     }
     let times = [
-        ("grace-s", settings.grace_s, SHORTEST_TIME_S),
-        ("steering-keep-s", settings.steering_keep_s, SHORTEST_TIME_S),
+        ("grace-s", settings.grace_s, MIN_TIME_S),
+        ("steering-keep-s", settings.steering_keep_s, MIN_TIME_S),
         ("rate-window-s", settings.rate_window_s, 0.0),
     ];
-    for (place, seconds, least) in times {
-        if !(least..=LONGEST_TIME_S).contains(&seconds) {
-            let reason = format!("must be from {least} to {LONGEST_TIME_S}");
-            faults.push(SettingsFault::new(place, reason));
+    for (place, seconds, min) in times {
+        if !(min..=MAX_TIME_S).contains(&seconds) {
+            let reason = format!("must be from {min} to {MAX_TIME_S}, not {seconds:?}");
+            errors.push(SettingsError::new(place, reason));
         }
     }
 }
--- a/crates/cuminramp-settings/src/lib.rs
+++ b/crates/cuminramp-settings/src/lib.rs
@@ -1,13 +1,14 @@
-//! Settings of a daemon: JSON with comments, checked as a whole.
+//! Settings of a daemon or gateway: JSON with comments, checked as a whole.
 //!
 //! Every address, interval, limit and endpoint is a setting with a default; `examples/reference.jsonc`
-//! shows them all. An unknown key or a wrong type is an error that names its place.
+//! lists those of a daemon. An unknown key, a wrong type or a value out of bounds is an error that
+//! names the key.
 
 mod check;
 mod gateway;
 mod settings;
 
-pub use check::{SettingsFault, parse_settings};
+pub use check::{SettingsError, parse_settings};
 pub use gateway::{GatewaySettings, ZoneRegion, parse_gateway_settings};
 pub use settings::{
     BatchSettings, ConfigurationSettings, DaemonSettings, LimitSettings, MarkSettings,
