--- a/crates/cuminramp-settings/src/settings.rs
+++ b/crates/cuminramp-settings/src/settings.rs
@@ -1,9 +1,10 @@
-//! The settings and their defaults.
+//! Settings of a daemon and their defaults.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
+/// Implements a method for each setting in milliseconds that returns it as a [`Duration`].
 macro_rules! durations {
     ($section:ident { $($(#[$doc:meta])* $name:ident = $field:ident;)* }) => {
         impl $section {
@@ -14,45 +15,45 @@
     };
 }
 
-/// Everything a daemon is told at its start.
+/// Settings of a daemon.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct DaemonSettings {
-    /// Where callers connect, `ip:port`; port 0 takes a free one.
+    /// Address that callers connect to, as `ip:port`; port 0 takes any free port.
     pub caller_address: String,
-    /// Where operators and scrapers connect, `ip:port`.
+    /// Address that operators and metrics scrapers connect to, as `ip:port`.
     pub operator_address: String,
-    /// Where other daemons connect, `ip:port`.
+    /// Address that other daemons connect to, as `ip:port`.
     pub peer_address: String,
-    /// What callers are told to connect to; empty: `caller-address`.
+    /// Address advertised to callers, as `ip:port`; if empty, `caller-address`.
     pub advertised_caller_address: String,
-    /// What other daemons are told to connect to; empty: `peer-address`.
+    /// Address advertised to other daemons, as `ip:port`; if empty, `peer-address`.
     pub advertised_peer_address: String,
-    /// The availability zone of this host.
+    /// Availability zone of this host.
     pub availability_zone: String,
-    /// What operators send as bearer token; empty: none is asked for.
+    /// Bearer token required from operators; if empty, none is required.
     pub operator_token: String,
     /// Lowest level of log lines: `error`, `warn`, `info`, `debug` or `trace`.
     pub log_level: String,
-    /// Seed of random choices; 0 takes one from the system.
+    /// Seed of random choices; 0 takes a seed from the operating system.
     pub random_seed: u64,
-    /// Where the platform's services are.
+    /// Access to the platform's services.
     pub platform: PlatformAccess,
-    /// Bounds on what callers may ask.
+    /// Limits on callers' connections and requests.
     pub limits: LimitSettings,
-    /// Talk between daemons.
+    /// Membership and calls between daemons.
     pub peers: PeerSettings,
-    /// Generations of declarations and keys.
+    /// Distribution of declarations and keys by generation.
     pub configuration: ConfigurationSettings,
-    /// Rate and burst over all hosts.
+    /// Distribution of teams' rates and bursts over hosts.
     pub quota: QuotaSettings,
-    /// What callers are told of hosts.
+    /// Steering answers to callers.
     pub steering: SteeringSettings,
-    /// Choice of targets and their connections.
+    /// Choice of targets and connections to them.
     pub targets: TargetSettings,
-    /// Further attempts.
+    /// Retries of requests and quarantine of poison requests.
     pub retries: RetrySettings,
-    /// Requests that may not be repeated.
+    /// Marks of requests that may not be repeated.
     pub marks: MarkSettings,
     /// Batch jobs.
     pub batch: BatchSettings,
@@ -84,17 +85,18 @@
     }
 }
 
-/// Where the platform's services are.
+/// Access to the platform's services.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct PlatformAccess {
-    /// Table, objects and host list, `ip:port`.
+    /// Address of the table, the objects and the host list, as `ip:port`.
     pub address: String,
-    /// How long one call may take.
+    /// Timeout of one call, in milliseconds.
     pub timeout_ms: u64,
-    /// Whether to tell the platform that this host stands; off where it knows by itself.
+    /// Whether this host announces itself to the platform; off where the platform lists its hosts by
+    /// itself.
     pub announce: bool,
-    /// How late the host list may be.
+    /// Maximum delay, in milliseconds, until a change shows in the host list.
     pub list_lag_ms: u64,
 }
 
@@ -110,31 +112,32 @@
 }
 
 durations!(PlatformAccess {
-    /// How long one call may take.
+    /// Timeout of one call.
     timeout = timeout_ms;
-    /// How late the host list may be.
+    /// Maximum delay until a change shows in the host list.
     list_lag = list_lag_ms;
 });
 
-/// Bounds on what callers may ask.
+/// Limits on callers' connections and requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct LimitSettings {
-    /// Largest body of a request.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Largest uploaded file.
+    /// Maximum size of an uploaded file, in bytes.
     pub max_file_bytes: usize,
-    /// Largest answer of a target that is not a stream.
+    /// Maximum size of a target's answer that is not a stream, in bytes.
     pub max_answer_bytes: usize,
-    /// How long the head of a request may take; also how long a connection may idle.
+    /// Timeout for receiving the head of a request, in milliseconds; also the idle timeout of a
+    /// connection.
     pub head_timeout_ms: u64,
-    /// How long the body of a request may take.
+    /// Timeout for receiving the body of a request, in milliseconds.
     pub body_timeout_ms: u64,
-    /// Connections of callers at once.
+    /// Maximum number of open connections from callers.
     pub connections: usize,
-    /// Most items in one batch job.
+    /// Maximum number of items in one batch job.
     pub max_batch_items: usize,
-    /// How long a host that leaves waits for what is in flight.
+    /// Maximum time, in milliseconds, that a draining host waits for work in flight.
     pub drain_timeout_ms: u64,
 }
 
@@ -154,33 +157,35 @@
 }
 
 durations!(LimitSettings {
-    /// How long the head of a request may take.
+    /// Timeout for receiving the head of a request.
     head_timeout = head_timeout_ms;
-    /// How long the body of a request may take.
+    /// Timeout for receiving the body of a request.
     body_timeout = body_timeout_ms;
-    /// How long a host that leaves waits.
+    /// Maximum time that a draining host waits for work in flight.
     drain_timeout = drain_timeout_ms;
 });
 
-/// Talk between daemons.
+/// Membership (SWIM) and calls between daemons.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct PeerSettings {
-    /// How often a host probes another.
+    /// Interval between probes of other hosts, in milliseconds.
     pub probe_interval_ms: u64,
-    /// How long a probe waits before others are asked to try.
+    /// Timeout of a probe, in milliseconds, after which other hosts are asked to probe the host.
     pub probe_timeout_ms: u64,
-    /// How many others are asked to try.
+    /// Number of other hosts that are asked to probe a host after a probe timed out.
     pub indirect_probes: usize,
-    /// How long a suspect has to show that it lives before it counts as dead.
+    /// Time, in milliseconds, in which a suspect member must show that it is alive before it counts as
+    /// dead.
     pub suspicion_ms: u64,
-    /// How long a call other than a probe may take.
+    /// Timeout of calls other than probes, in milliseconds.
     pub call_timeout_ms: u64,
-    /// How often the platform's host list is read.
+    /// Interval, in milliseconds, at which the platform's host list is read.
     pub list_poll_ms: u64,
-    /// How many changes of other hosts ride on one probe.
+    /// Maximum number of membership updates carried by one probe.
     pub updates_per_probe: usize,
-    /// How long a host that is dead or gone is remembered.
+    /// Time, in milliseconds, after which a host that is dead or has left is removed from the member
+    /// table.
     pub forget_after_ms: u64,
 }
 
@@ -200,31 +205,33 @@
 }
 
 durations!(PeerSettings {
-    /// How often a host probes another.
+    /// Interval between probes of other hosts.
     probe_interval = probe_interval_ms;
-    /// How long a probe waits.
+    /// Timeout of a probe.
     probe_timeout = probe_timeout_ms;
-    /// How long a suspect has to show that it lives.
+    /// Time in which a suspect member must show that it is alive.
     suspicion = suspicion_ms;
-    /// How long a call other than a probe may take.
+    /// Timeout of calls other than probes.
     call_timeout = call_timeout_ms;
-    /// How often the platform's host list is read.
+    /// Interval at which the platform's host list is read.
     list_poll = list_poll_ms;
-    /// How long a dead host is remembered.
+    /// Time after which a host that is dead or has left is removed from the member table.
     forget_after = forget_after_ms;
 });
 
-/// Generations of declarations and keys.
+/// Distribution of declarations and keys by generation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct ConfigurationSettings {
-    /// How often the table is asked for a newer generation.
+    /// Interval, in milliseconds, at which the table is polled for a newer generation.
     pub poll_ms: u64,
-    /// How long a host that hears neither from the table nor from another daemon goes on taking keys.
+    /// Time, in milliseconds, for which a host goes on accepting keys while it receives nothing from
+    /// the table or from other daemons.
     pub unconfirmed_after_ms: u64,
-    /// How many change sets are kept for others that are behind.
+    /// Number of change sets kept for peers that are behind; a peer that is further behind gets a
+    /// snapshot.
     pub log_generations: usize,
-    /// After how many generations a snapshot is written.
+    /// Number of generations after which a snapshot is written.
     pub snapshot_every: u64,
 }
 
@@ -240,48 +247,52 @@
 }
 
 durations!(ConfigurationSettings {
-    /// How often the table is asked.
+    /// Interval at which the table is polled for a newer generation.
     poll = poll_ms;
-    /// How long a host that hears from nobody goes on taking keys.
+    /// Time for which a host goes on accepting keys while it receives nothing from the table or from
+    /// other daemons.
     unconfirmed_after = unconfirmed_after_ms;
 });
 
-/// How rate and burst are shared out over hosts.
+/// Policy by which teams' rates and bursts are distributed over hosts.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum QuotaPolicy {
-    /// Shards that are owned until they are given back or their owner is surely dead.
+    /// Each shard has an owner until the owner releases it or is confirmed dead.
     #[default]
     Shards,
-    /// Baseline: an owner's lease that expires by time.
+    /// Baseline: the lease of an owner expires after a fixed time.
     ExpiringLease,
-    /// Baseline: each host has an equal fixed part.
+    /// Baseline: each host has an equal, fixed part.
     StaticSplit,
 }
 
-/// Rate and burst over all hosts.
+/// Distribution of teams' rates and bursts over hosts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct QuotaSettings {
-    /// How the rate is shared out.
+    /// Policy by which rates and bursts are distributed.
     pub policy: QuotaPolicy,
-    /// Shards in all; the same on every host, fixed for the life of the table.
+    /// Number of shards; the same on every host and fixed for the lifetime of the table.
     pub shards: u32,
-    /// Shards among which a team's rate is split.
+    /// Number of slices into which a team's rate is split, each on a shard of its own, before
+    /// `slice-rate` adds more.
     pub slices: u32,
-    /// Further slices for each so many requests a second, up to `max-slices`.
+    /// Rate, in requests a second, for each multiple of which a team gets one further slice, up to
+    /// `max-slices`.
     pub slice_rate: f64,
-    /// Most slices of a team.
+    /// Maximum number of slices of a team.
     pub max_slices: u32,
-    /// How long tokens from another host stay valid.
+    /// Maximum time, in milliseconds, for which tokens borrowed from another host stay valid.
     pub borrow_valid_ms: u64,
-    /// How many owners are asked, one after the other, before a request is refused.
+    /// Maximum number of owners that are asked for tokens, one after the other, before a request is
+    /// refused.
     pub borrow_attempts: usize,
-    /// How often shards are claimed, given back and read.
+    /// Interval, in milliseconds, at which shards are claimed, released and read.
     pub shard_poll_ms: u64,
-    /// How many shards a host gives to another in one step.
+    /// Maximum number of shards that a host hands over in one poll.
     pub moves_per_poll: usize,
-    /// Baseline `expiring-lease`: how long a lease lasts.
+    /// Duration of a lease under the baseline `expiring-lease`, in milliseconds.
     pub lease_ms: u64,
 }
 
@@ -303,21 +314,21 @@
 }
 
 durations!(QuotaSettings {
-    /// How long tokens from another host stay valid.
+    /// Maximum time for which tokens borrowed from another host stay valid.
     borrow_valid = borrow_valid_ms;
-    /// How often shards are claimed, given back and read.
+    /// Interval at which shards are claimed, released and read.
     shard_poll = shard_poll_ms;
-    /// Baseline: how long a lease lasts.
+    /// Duration of a lease under the baseline `expiring-lease`.
     lease = lease_ms;
 });
 
-/// What callers are told of hosts.
+/// Steering answers, which name the hosts that a caller should use.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct SteeringSettings {
-    /// How many hosts an answer names.
+    /// Number of hosts that a steering answer names.
     pub homes: usize,
-    /// How long a caller may keep an answer.
+    /// Time, in milliseconds, for which a caller may cache a steering answer.
     pub keep_ms: u64,
 }
 
@@ -328,40 +339,41 @@
 }
 
 durations!(SteeringSettings {
-    /// How long a caller may keep an answer.
+    /// Time for which a caller may cache a steering answer.
     keep = keep_ms;
 });
 
-/// Choice of targets and their connections.
+/// Choice of targets and connections to them.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct TargetSettings {
-    /// How long connecting may take.
+    /// Timeout for connecting to a target, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// How long a target may take until the head of its answer.
+    /// Timeout, in milliseconds, until the head of a target's answer arrives.
     pub first_byte_timeout_ms: u64,
-    /// How long a stream or body may be silent.
+    /// Timeout, in milliseconds, between two pieces of a stream or body.
     pub progress_timeout_ms: u64,
-    /// How often engines are asked for their load; 0: never.
+    /// Interval, in milliseconds, at which engines are polled for their load; 0 disables polling.
     pub load_poll_ms: u64,
-    /// The path of an engine's load report.
+    /// Path of an engine's load report.
     pub load_path: String,
-    /// The header that asks an engine to go on with an answer after so many tokens; empty: engines
-    /// can't.
+    /// Header that asks an engine to continue an answer after a given number of tokens; empty if
+    /// engines can't.
     pub resume_header: String,
-    /// Failures in a row after which a target is set aside.
+    /// Number of consecutive failures after which a target is ejected.
     pub eject_after: u32,
-    /// How long it is set aside at first; it doubles up to eight times that.
+    /// Duration of a target's first ejection, in milliseconds; it doubles with each further ejection,
+    /// up to eight times this value.
     pub eject_ms: u64,
-    /// The largest share of a pool that may be set aside.
+    /// Maximum share of a pool's targets that may be ejected.
     pub eject_share: f64,
-    /// How long requests may wait for a free slot.
+    /// Maximum time, in milliseconds, that a request waits for a free slot.
     pub queue_timeout_ms: u64,
-    /// Most requests of one pool that wait on this host.
+    /// Maximum number of requests of one pool that wait on this host.
     pub queue_length: usize,
-    /// Requests in flight on one target, as a multiple of its slots, over all hosts.
+    /// Maximum number of requests in flight on one target over all hosts, as a multiple of its slots.
     pub slot_factor: f64,
-    /// How many characters of a prompt count as its prefix.
+    /// Number of leading characters of a prompt that count as its prefix.
     pub prefix_chars: usize,
 }
 
@@ -386,33 +398,33 @@
 }
 
 durations!(TargetSettings {
-    /// How long connecting may take.
+    /// Timeout for connecting to a target.
     connect_timeout = connect_timeout_ms;
-    /// How long a target may take until the head of its answer.
+    /// Timeout until the head of a target's answer arrives.
     first_byte_timeout = first_byte_timeout_ms;
-    /// How long a stream or body may be silent.
+    /// Timeout between two pieces of a stream or body.
     progress_timeout = progress_timeout_ms;
-    /// How often engines are asked for their load.
+    /// Interval at which engines are polled for their load.
     load_poll = load_poll_ms;
-    /// How long a target is set aside at first.
+    /// Duration of a target's first ejection.
     eject = eject_ms;
-    /// How long requests may wait for a free slot.
+    /// Maximum time that a request waits for a free slot.
     queue_timeout = queue_timeout_ms;
 });
 
-/// Further attempts.
+/// Retries of requests and quarantine of poison requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct RetrySettings {
-    /// Attempts of one request in all.
+    /// Maximum number of attempts of one request, including the first.
     pub attempts: u32,
-    /// Retries a second as a share of requests a second.
+    /// Maximum retries a second, as a share of the requests a second.
     pub budget_share: f64,
-    /// Retries at once.
+    /// Maximum number of retries at once.
     pub budget_burst: f64,
-    /// How long the fingerprint of a request that crashed targets is not run.
+    /// Time, in milliseconds, for which the fingerprint of a poison request stays quarantined.
     pub quarantine_ms: u64,
-    /// How many targets a fingerprint may take down before.
+    /// Number of target crashes after which a fingerprint is quarantined.
     pub quarantine_after: u32,
 }
 
@@ -429,19 +441,20 @@
 }
 
 durations!(RetrySettings {
-    /// How long a fingerprint is not run.
+    /// Time for which the fingerprint of a poison request stays quarantined.
     quarantine = quarantine_ms;
 });
 
-/// Requests that may not be repeated.
+/// Marks of requests that may not be repeated.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct MarkSettings {
-    /// Least time between two writes of marks; what comes meanwhile goes into the next one.
+    /// Minimum interval between two writes of marks, in milliseconds; marks that arrive in between go
+    /// into the next write.
     pub group_ms: u64,
-    /// Most marks in one write.
+    /// Maximum number of marks in one write.
     pub group_size: usize,
-    /// Largest answer that is kept for a caller who asks again.
+    /// Maximum size, in bytes, of an answer that is kept for a caller that repeats its request.
     pub max_kept_bytes: usize,
 }
 
@@ -452,7 +465,7 @@
 }
 
 durations!(MarkSettings {
-    /// Least time between two writes of marks.
+    /// Minimum interval between two writes of marks.
     group = group_ms;
 });
 
@@ -462,25 +475,25 @@
 pub struct BatchSettings {
     /// Whether this host works on batch jobs.
     pub enabled: bool,
-    /// How often the table is asked for open jobs.
+    /// Interval, in milliseconds, at which the table is polled for open jobs.
     pub poll_ms: u64,
-    /// Fewest items in a chunk.
+    /// Minimum number of items in a chunk.
     pub min_chunk_items: u32,
-    /// Most items in a chunk.
+    /// Maximum number of items in a chunk.
     pub max_chunk_items: u32,
-    /// Chunks that one host holds at once.
+    /// Maximum number of chunks that one host holds at once.
     pub chunks_per_host: usize,
-    /// How long a host must be gone before its chunks are taken over.
+    /// Time, in milliseconds, for which a host must be gone before its chunks are taken over.
     pub takeover_after_ms: u64,
-    /// Attempts of one item before it ends with an error.
+    /// Number of attempts after which an item ends with an error.
     pub item_attempts: u32,
-    /// Crashes of targets with an item alone before it ends with an error.
+    /// Number of target crashes, with the item running alone, after which the item ends with an error.
     pub item_crashes: u32,
-    /// The share of an engine's slots that batch may fill when nothing else runs.
+    /// Share of an engine's slots that batch items may fill when nothing else runs.
     pub window_share: f64,
-    /// How long after online work batch stays away from an engine.
+    /// Time, in milliseconds, after online work during which an engine gets no batch items.
     pub yield_ms: u64,
-    /// Time one item may take.
+    /// Timeout of one item, in milliseconds.
     pub item_timeout_ms: u64,
 }
 
@@ -503,12 +516,12 @@
 }
 
 durations!(BatchSettings {
-    /// How often the table is asked for open jobs.
+    /// Interval at which the table is polled for open jobs.
     poll = poll_ms;
-    /// How long a host must be gone before its chunks are taken over.
+    /// Time for which a host must be gone before its chunks are taken over.
     takeover_after = takeover_after_ms;
-    /// How long after online work batch stays away from an engine.
+    /// Time after online work during which an engine gets no batch items.
     yield_time = yield_ms;
-    /// Time one item may take.
+    /// Timeout of one item.
     item_timeout = item_timeout_ms;
 });
