--- a/crates/cuminramp-routes/src/generation_log.rs
+++ b/crates/cuminramp-routes/src/generation_log.rs
@@ -40,8 +40,8 @@
 
     /// Appends the set that was just applied and drops the oldest above the capacity.
     ///
-    /// If the set doesn't follow the last one, as after a snapshot, the log is cleared first: a peer that
-    /// applied sets across a gap would miss changes.
+    /// If the set doesn't follow the last one, as after a snapshot, the log is cleared first, because a
+    /// peer can't apply sets across a gap.
     pub fn push(&mut self, set: Arc<ChangeSet>) {
         if self.sets.back().is_some_and(|last| last.generation + 1 != set.generation) {
             self.sets.clear();
