--- a/crates/cuminramp-core/src/code.rs
+++ b/crates/cuminramp-core/src/code.rs
@@ -1,22 +1,23 @@
-//! Numbered result codes, and what a refusal says about whether the work ran.
+//! Numbered result codes, and whether a refused request may have run on a target.
 
 use std::fmt;
 use std::time::Duration;
 
-/// What is known about whether a refused request ran on a target; of several attempts the greatest
-/// counts.
+/// Whether a refused request ran on a target, as far as is known.
+///
+/// The variants are ordered: the state of a request with several attempts is the greatest of theirs.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Execution {
-    /// No target was given a byte of it.
+    /// No byte of the request was sent to a target.
     NotRun,
-    /// A target was given it and its outcome is unknown.
+    /// The request was sent to a target and its outcome is unknown.
     MayHaveRun,
-    /// A target ran it, at least in part.
+    /// A target ran the request, at least in part.
     Ran,
 }
 
 impl Execution {
-    /// The words callers read in the `cuminramp-execution` header and in error bodies.
+    /// Returns the value of the `cuminramp-execution` header and of error bodies.
     ///
     /// ```
     /// assert_eq!(cuminramp_core::Execution::NotRun.as_str(), "not run");
@@ -32,17 +33,17 @@
 
 macro_rules! result_codes {
     ($($(#[$doc:meta])* $variant:ident = $number:literal, $status:literal, $kind:literal;)*) => {
-        /// A numbered outcome; `docs/result-codes.md` lists them all.
+        /// Numbered reason for a refusal or failure; `docs/result-codes.md` lists all of them.
         #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
         pub enum ResultCode {
             $($(#[$doc])* $variant,)*
         }
 
         impl ResultCode {
-            /// Every code, in the order of its number.
+            /// All codes, in ascending order of their numbers.
             pub const ALL: &'static [ResultCode] = &[$(ResultCode::$variant,)*];
 
-            /// The number shown to people and machines.
+            /// Returns the number, as it appears in responses and logs.
             ///
             /// ```
             /// assert_eq!(cuminramp_core::ResultCode::KeyUnknown.number(), 1101);
@@ -51,17 +52,17 @@
                 match self { $(ResultCode::$variant => $number,)* }
             }
 
-            /// The HTTP status a caller sees with it.
+            /// Returns the HTTP status of a response with this code.
             pub fn http_status(self) -> u16 {
                 match self { $(ResultCode::$variant => $status,)* }
             }
 
-            /// The `type` field of an error body, as OpenAI clients parse it.
+            /// Returns the `type` field of an error body, as OpenAI clients parse it.
             pub fn kind(self) -> &'static str {
                 match self { $(ResultCode::$variant => $kind,)* }
             }
 
-            /// The name in words, as `docs/result-codes.md` shows it.
+            /// Returns the name of the variant, as `docs/result-codes.md` lists it.
             pub fn name(self) -> &'static str {
                 match self { $(ResultCode::$variant => stringify!($variant),)* }
             }
@@ -70,63 +71,64 @@
 }
 
 result_codes! {
-    /// The body is not JSON, or not the JSON this endpoint takes.
+    /// The body is not JSON, or not the JSON that this endpoint accepts.
     BodyMalformed = 1001, 400, "invalid_request_error";
     /// The body is larger than `max-body-bytes`.
     BodyTooLarge = 1002, 413, "invalid_request_error";
-    /// The body did not arrive whole within `body-timeout-ms`.
+    /// The complete body did not arrive within `body-timeout-ms`.
     BodyTimeout = 1003, 408, "invalid_request_error";
-    /// No route matches the model or path.
+    /// No route matches the model or the path.
     RouteUnknown = 1004, 404, "invalid_request_error";
-    /// The file, batch or other named thing is not there for this team.
+    /// The team has no file, batch or other resource with this name.
     ResourceUnknown = 1005, 404, "invalid_request_error";
-    /// The method or path is none that the system serves.
+    /// No endpoint exists for this method and path.
     EndpointUnknown = 1006, 404, "invalid_request_error";
-    /// A field has a value that is not allowed.
+    /// A field or header has an invalid value.
     FieldInvalid = 1007, 400, "invalid_request_error";
-    /// One line of a batch input file can't be used; the other lines run.
+    /// A line of a batch input file is invalid; the other lines run.
     LineMalformed = 1008, 400, "invalid_request_error";
-    /// No `Authorization: Bearer` header came with the request.
+    /// The request has no `Authorization: Bearer` header.
     KeyMissing = 1100, 401, "authentication_error";
-    /// The key is not known, or was withdrawn.
+    /// The key does not exist or was withdrawn.
     KeyUnknown = 1101, 401, "authentication_error";
-    /// The host can't tell which keys are in force.
+    /// The host can't confirm which keys are currently valid.
     KeysUnconfirmed = 1102, 503, "service_unavailable";
     /// The operator token is missing or wrong.
     OperatorUnknown = 1103, 401, "authentication_error";
-    /// The team is above its rate and burst.
+    /// The team exceeds its rate and burst.
     RateExceeded = 1200, 429, "rate_limit_error";
-    /// No target of the pool can take the request now.
+    /// No target of the pool can accept the request at present.
     TargetsUnavailable = 1300, 503, "service_unavailable";
-    /// The target failed, and the request can't be tried again.
+    /// The target failed and the request can't be retried.
     TargetFailed = 1301, 502, "upstream_error";
-    /// The deadline passed.
+    /// The deadline of the request passed.
     DeadlineExceeded = 1302, 504, "upstream_error";
-    /// The stream broke off and could not be resumed.
+    /// The response stream was interrupted and could not be resumed.
     StreamBroken = 1303, 502, "upstream_error";
-    /// The same request crashed targets before and is not run again for a while.
+    /// The same request crashed targets before and is not run again until its quarantine ends.
     RequestQuarantined = 1304, 422, "invalid_request_error";
-    /// The same idempotency key is running or has run, and its answer is not known.
+    /// A request with the same idempotency key is running or has run, and its response is not known.
     AlreadyStarted = 1305, 409, "conflict_error";
     /// The queue of the pool is full.
     QueueFull = 1306, 503, "service_unavailable";
-    /// The same request broke targets before; this time it was not run.
+    /// The same request crashed targets before; it is refused without another run until its quarantine
+    /// ends.
     RequestHeldBack = 1307, 503, "service_unavailable";
-    /// The platform's table or object store can't be reached.
+    /// The platform's table or object store is unreachable.
     StoreUnavailable = 1400, 503, "service_unavailable";
-    /// The host is draining and takes no new requests.
+    /// The host is draining and accepts no new requests.
     HostDraining = 1401, 503, "service_unavailable";
-    /// The host has no configuration in force yet, or no host owns a part of the team's rate yet.
+    /// The host has no configuration in force yet, or no host owns a share of the team's rate yet.
     ConfigurationUnknown = 1402, 503, "service_unavailable";
-    /// Another change came first; the answer shows the generation now in force.
+    /// Another change was applied first; the response contains the generation in force.
     GenerationConflict = 1500, 409, "conflict_error";
-    /// The declarations are refused whole, each reason is listed.
+    /// The declarations are invalid; none is applied, and the response lists every reason.
     DeclarationsInvalid = 1501, 422, "invalid_request_error";
-    /// A setting has a wrong type, value or name.
+    /// A setting has an unknown name, a wrong type or an invalid value.
     SettingsInvalid = 1502, 400, "invalid_request_error";
-    /// The batch item failed after its bounded number of attempts.
+    /// The batch item failed on each of its limited number of attempts.
     ItemFailed = 1601, 422, "invalid_request_error";
-    /// Something in the daemon itself went wrong.
+    /// An internal error of the daemon.
     Internal = 1900, 500, "server_error";
 }
 
@@ -136,21 +138,21 @@
     }
 }
 
-/// An answer that gives no result: its code, whether the work ran, and when to come back.
+/// Response that carries no result: its code, whether the request ran, and when to retry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub code: ResultCode,
-    /// Whether a target ran the work.
+    /// Whether a target ran the request.
     pub execution: Execution,
-    /// When another try makes sense, where one does.
+    /// Time after which the caller may retry; `None` if a retry is not expected to help.
     pub retry_after: Option<Duration>,
-    /// One sentence for people.
+    /// Human-readable reason, one sentence.
     pub message: String,
 }
 
 impl Refusal {
-    /// A refusal of work that no target saw.
+    /// Creates a refusal of a request that was not sent to any target.
     ///
     /// ```
     /// use cuminramp_core::{Execution, Refusal, ResultCode};
@@ -161,13 +163,13 @@
         Refusal { code, execution: Execution::NotRun, retry_after: None, message: message.into() }
     }
 
-    /// The same refusal with another word on whether the work ran.
+    /// Returns the refusal with `execution` replaced.
     pub fn with_execution(mut self, execution: Execution) -> Self {
         self.execution = execution;
         self
     }
 
-    /// The same refusal with a time after which to come back.
+    /// Returns the refusal with `retry_after` set to `wait`.
     pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
--- a/crates/cuminramp-core/src/code/tests.rs
+++ b/crates/cuminramp-core/src/code/tests.rs
@@ -1,7 +1,7 @@
 use super::ResultCode;
 
 #[test]
-fn numbers_rise_and_each_is_in_the_table_of_the_docs() {
+fn numbers_ascend_and_the_docs_table_lists_each() {
     let table = include_str!("../../../../docs/result-codes.md");
 
     let numbers: Vec<u16> = ResultCode::ALL.iter().map(|code| code.number()).collect();
--- a/crates/cuminramp-core/src/digest.rs
+++ b/crates/cuminramp-core/src/digest.rs
@@ -1,22 +1,23 @@
-//! Digests of keys: the only form in which a key is kept.
+//! Digests of API keys. Keys are stored only as digests.
 
 use std::fmt;
 
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Bytes in a digest.
+/// Length of a SHA-256 digest in bytes.
 const DIGEST_BYTES: usize = 32;
 
-/// The SHA-256 digest of a caller's key.
+/// SHA-256 digest of a caller's API key.
 ///
-/// The order of digests tells nothing about keys, so a table sorted by them may be searched by
-/// bisection; the final comparison takes the same time wherever two digests first differ.
+/// The order of digests reveals nothing about the keys, so tables may be sorted by digest and searched
+/// by bisection. [`matches`](KeyDigest::matches) makes the final comparison and takes the same time
+/// wherever two digests first differ.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key as the caller sent it.
+    /// Computes the digest of a key as the caller sent it.
     ///
     /// ```
     /// use cuminramp_core::KeyDigest;
@@ -27,17 +28,17 @@
         KeyDigest(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// Reads the bytes of a row.
+    /// Creates a digest from its stored bytes; returns `None` unless there are exactly 32.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(KeyDigest)
     }
 
-    /// The bytes of a row.
+    /// Returns the bytes to store.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Compares in constant time.
+    /// Compares two digests in constant time.
     pub fn matches(&self, other: &KeyDigest) -> bool {
         self.0.ct_eq(&other.0).into()
     }
--- a/crates/cuminramp-core/src/host.rs
+++ b/crates/cuminramp-core/src/host.rs
@@ -2,25 +2,25 @@
 
 use crate::{AvailabilityZone, Name};
 
-/// The number of one run of a daemon on a host; a later run has a higher number.
+/// Number of one run of a daemon on a host; later runs have higher numbers.
 pub type Incarnation = u64;
 
-/// One run of the daemon at one peer address.
+/// Identity of one run of the daemon at a peer address.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct HostId {
-    /// The address other daemons reach it at, `ip:port`.
+    /// Address at which other daemons reach it, as `ip:port`.
     pub address: Name,
-    /// Which run this is.
+    /// Number of the run.
     pub incarnation: Incarnation,
 }
 
-/// What other hosts and callers need to know of a host.
+/// Host as it is advertised to other hosts and to callers.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Host {
-    /// The run.
+    /// Identity of the daemon's current run.
     pub id: HostId,
-    /// Where callers connect, `ip:port`.
+    /// Address to which callers connect, as `ip:port`.
     pub caller_address: Name,
-    /// The availability zone it stands in.
+    /// Availability zone of the host.
     pub zone: AvailabilityZone,
 }
--- a/crates/cuminramp-core/src/lib.rs
+++ b/crates/cuminramp-core/src/lib.rs
@@ -1,6 +1,6 @@
-//! Names, result codes, sorted collections and hashing that every other crate shares.
+//! Names, result codes, sorted collections and hashing shared by all other crates.
 //!
-//! Nothing here does I/O or reads a clock; the daemon hands in the time and the random source.
+//! Nothing here does I/O or reads a clock; the daemon passes in the time and the random source.
 
 mod code;
 mod digest;
@@ -16,8 +16,8 @@
 pub use rendezvous::{hash_parts, rank_by_score, rendezvous_score};
 pub use sorted_map::SortedMap;
 
-/// A shared immutable name of a team, pool, target, model, host or availability zone.
+/// Shared immutable name of a team, pool, target, model, host or availability zone.
 pub type Name = std::sync::Arc<str>;
 
-/// The name of a place that shares power and network with nothing outside it.
+/// Name of a failure domain that shares power and network with nothing outside it.
 pub type AvailabilityZone = Name;
--- a/crates/cuminramp-core/src/random.rs
+++ b/crates/cuminramp-core/src/random.rs
@@ -1,23 +1,23 @@
-//! The border to randomness, so that tests and benches repeat themselves.
+//! Interface to random numbers, so that tests and benchmarks can use a seeded, repeatable source.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// A source of random numbers.
+/// Source of random numbers.
 pub trait RandomSource: Send {
-    /// A number in `0..bound`; `0` where `bound` is `0`.
+    /// Returns a number in `0..bound`, or `0` if `bound` is `0`.
     fn below(&mut self, bound: usize) -> usize;
 
-    /// A number in `0.0..1.0`.
+    /// Returns a number in `0.0..1.0`.
     fn fraction(&mut self) -> f64;
 }
 
-/// A random source that repeats itself from a seed.
+/// Random source that yields the same sequence for the same seed.
 #[derive(Debug)]
 pub struct SeededRandom(StdRng);
 
 impl SeededRandom {
-    /// Starts from a seed.
+    /// Creates a source from a seed.
     ///
     /// ```
     /// use cuminramp_core::{RandomSource, SeededRandom};
--- a/crates/cuminramp-core/src/rendezvous.rs
+++ b/crates/cuminramp-core/src/rendezvous.rs
@@ -1,12 +1,12 @@
-//! Rendezvous hashing: each key ranks the members, and a member that comes or goes moves only the
-//! keys that it wins or had won.
+//! Rendezvous hashing: each key ranks all members by score. When a member is added or removed, only the
+//! keys move for which this member ranks first.
 
 use std::cmp::Reverse;
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Ends each part, so that `ab` + `c` and `a` + `bc` differ.
-const PART_END: u8 = 0xff;
+/// Byte appended to each part, so that `ab` + `c` and `a` + `bc` hash differently.
+const PART_TERMINATOR: u8 = 0xff;
 
 /// Hashes the parts in order.
 ///
@@ -18,12 +18,12 @@
     let mut hasher = Xxh3::new();
     for part in parts {
         hasher.update(part.as_bytes());
-        hasher.update(&[PART_END]);
+        hasher.update(&[PART_TERMINATOR]);
     }
     hasher.digest()
 }
 
-/// How strongly `key` is drawn to `member`.
+/// Returns the score of `member` for `key`; the member with the highest score ranks first.
 ///
 /// ```
 /// use cuminramp_core::rendezvous_score;
@@ -33,7 +33,7 @@
     hash_parts(&[key, member])
 }
 
-/// Sorts members by falling score.
+/// Sorts members by descending score for `key`.
 ///
 /// ```
 /// let mut members = vec!["a".to_owned(), "b".to_owned(), "c".to_owned()];
--- a/crates/cuminramp-core/src/sorted_map.rs
+++ b/crates/cuminramp-core/src/sorted_map.rs
@@ -1,8 +1,9 @@
-//! A map kept as a sorted vector.
+//! Map stored as a sorted vector.
 
-/// A map from `K` to `V` in one sorted vector, searched by bisection.
+/// Map from `K` to `V`, stored in one sorted vector and searched by bisection.
 ///
-/// Tables here are read far more often than changed, and a vector is compact and quick to walk.
+/// The maps of this system are read far more often than changed, and a vector is compact and fast to
+/// iterate over.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SortedMap<K, V> {
     entries: Vec<(K, V)>,
@@ -15,7 +16,7 @@
 }
 
 impl<K: Ord, V> SortedMap<K, V> {
-    /// An empty map.
+    /// Creates an empty map.
     ///
     /// ```
     /// let mut map = cuminramp_core::SortedMap::new();
@@ -35,7 +36,7 @@
         self.entries.binary_search_by(|(entry, _)| entry.borrow().cmp(key))
     }
 
-    /// The value at `key`.
+    /// Returns the value at `key`.
     pub fn get<Q: Ord + ?Sized>(&self, key: &Q) -> Option<&V>
     where
         K: std::borrow::Borrow<Q>,
@@ -43,7 +44,7 @@
         self.position(key).ok().map(|index| &self.entries[index].1)
     }
 
-    /// The entry at `key`, with the key as it is kept.
+    /// Returns the value at `key` together with the stored key.
     pub fn get_entry<Q: Ord + ?Sized>(&self, key: &Q) -> Option<(&K, &V)>
     where
         K: std::borrow::Borrow<Q>,
@@ -51,7 +52,7 @@
         self.position(key).ok().map(|index| (&self.entries[index].0, &self.entries[index].1))
     }
 
-    /// The value at `key`, to change.
+    /// Returns a mutable reference to the value at `key`.
     pub fn get_mut<Q: Ord + ?Sized>(&mut self, key: &Q) -> Option<&mut V>
     where
         K: std::borrow::Borrow<Q>,
@@ -59,7 +60,7 @@
         self.position(key).ok().map(|index| &mut self.entries[index].1)
     }
 
-    /// Whether `key` has a value.
+    /// Returns whether the map contains `key`.
     pub fn contains_key<Q: Ord + ?Sized>(&self, key: &Q) -> bool
     where
         K: std::borrow::Borrow<Q>,
@@ -67,7 +68,7 @@
         self.position(key).is_ok()
     }
 
-    /// Puts `value` at `key` and returns what stood there.
+    /// Inserts `value` at `key` and returns the previous value.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         match self.position(&key) {
             Ok(index) => Some(std::mem::replace(&mut self.entries[index].1, value)),
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The value at `key`, made by `make` where there is none.
+    /// Returns the value at `key`, inserting the result of `make` if there is none.
     pub fn get_or_insert_with(&mut self, key: K, make: impl FnOnce() -> V) -> &mut V {
         let index = match self.position(&key) {
             Ok(index) => index,
@@ -90,7 +91,7 @@
         &mut self.entries[index].1
     }
 
-    /// Takes the value at `key` out.
+    /// Removes `key` and returns its value.
     pub fn remove<Q: Ord + ?Sized>(&mut self, key: &Q) -> Option<V>
     where
         K: std::borrow::Borrow<Q>,
@@ -98,44 +99,44 @@
         self.position(key).ok().map(|index| self.entries.remove(index).1)
     }
 
-    /// Keeps the entries that `keep` says.
+    /// Keeps only the entries for which `keep` returns `true`.
     pub fn retain(&mut self, mut keep: impl FnMut(&K, &mut V) -> bool) {
         self.entries.retain_mut(|(key, value)| keep(key, value));
     }
 
-    /// The entries in order.
+    /// Iterates over the entries in ascending order of their keys.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = (&K, &V)> + ExactSizeIterator {
         self.entries.iter().map(|(key, value)| (key, value))
     }
 
-    /// The entries in order, values to change.
+    /// Iterates over the entries in ascending order of their keys, with mutable values.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&K, &mut V)> {
         self.entries.iter_mut().map(|(key, value)| (&*key, value))
     }
 
-    /// The keys in order.
+    /// Iterates over the keys in ascending order.
     pub fn keys(&self) -> impl DoubleEndedIterator<Item = &K> + ExactSizeIterator {
         self.entries.iter().map(|(key, _)| key)
     }
 
-    /// The values in the order of their keys.
+    /// Iterates over the values in ascending order of their keys.
     pub fn values(&self) -> impl DoubleEndedIterator<Item = &V> + ExactSizeIterator {
         self.entries.iter().map(|(_, value)| value)
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether the map has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
 impl<K: Ord, V> FromIterator<(K, V)> for SortedMap<K, V> {
-    /// Sorts once; of entries with one key the last stays.
+    /// Sorts the entries once; of several entries with the same key the last one is kept.
     fn from_iter<I: IntoIterator<Item = (K, V)>>(iter: I) -> Self {
         let mut entries: Vec<(K, V)> = iter.into_iter().collect();
         entries.sort_by(|left, right| left.0.cmp(&right.0));
