--- a/crates/cuminramp-cli/src/flags.rs
+++ b/crates/cuminramp-cli/src/flags.rs
@@ -1,217 +1,217 @@
-//! The command line of `cuminramp`.
+//! Command line of `cuminramp`. The doc comments are the help texts.
 #![allow(missing_docs, unreachable_pub)]
 
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Operates cuminramp. Exit status: 0 done, 1 failed, 2 wrong input, 3 conflict, 4 unreachable.
+    /// Operate cuminramp. Exit status: 0 success, 1 failure, 2 invalid input, 3 conflict, 4 unreachable.
     cmd cuminramp {
-        /// A daemon's operator address, ip:port; 127.0.0.1:8081 where not given.
+        /// Operator address of a daemon, ip:port [default: 127.0.0.1:8081]
         optional -o, --operator operator: String
-        /// The operators' token; CUMINRAMP_TOKEN where not given.
+        /// Operator token [default: the environment variable CUMINRAMP_TOKEN]
         optional --token token: String
-        /// Print JSON for machines.
+        /// Print JSON instead of tables.
         optional --json
 
-        /// Checks a file without asking any daemon.
+        /// Check files locally, without contacting a daemon.
         cmd check {
-            /// A declaration file.
+            /// Declaration file to check.
             optional --declarations declarations: PathBuf
-            /// A daemon's settings.
+            /// Daemon settings file to check.
             optional --settings settings: PathBuf
         }
-        /// Shows the declarations in force.
+        /// Show the declarations in force.
         cmd show {}
-        /// Makes a declaration file the next generation, or refuses it whole.
+        /// Apply a declaration file as the next generation; an invalid file changes nothing.
         cmd apply {
-            /// The file, JSON with comments.
+            /// Declaration file, JSON with comments.
             required file: PathBuf
-            /// The generation the file was made for; a later one is a conflict.
+            /// Generation that the file is based on; fail with a conflict if a later one is in force.
             optional --expect generation: u64
-            /// Only say what would change.
+            /// Print what would change without applying it.
             optional --dry-run
-            /// Wait until every live host has it in force, at most so many seconds.
+            /// Wait until the generation is in force on every live host, at most this many seconds.
             optional --wait seconds: u64
         }
-        /// Shows which hosts have which generation in force.
+        /// Show which generation is in force on each host.
         cmd generations {}
-        /// Lists keys by digest.
+        /// List keys by digest.
         cmd keys {}
-        /// Grants a key and prints it, this once.
+        /// Grant a key and print it. The key can't be shown again.
         cmd grant {
-            /// The team.
+            /// Name of the team.
             required team: String
-            /// What to call the key.
+            /// Label of the key.
             optional --label label: String
         }
-        /// Withdraws a key, for good.
+        /// Withdraw a key permanently.
         cmd withdraw {
-            /// The key, its label, or the first 12 digits of its digest.
+            /// Key, its label, or the first 12 digits of its digest.
             required key: String
         }
-        /// Shows hosts as the asked one knows them.
+        /// Show hosts as seen by the daemon that is called.
         cmd hosts {}
-        /// Shows targets and their load.
+        /// Show targets and their load.
         cmd targets {}
-        /// Shows teams and which hosts own their rate.
+        /// Show teams and the hosts that own their rate.
         cmd teams {}
-        /// Lists open jobs.
+        /// List open jobs.
         cmd jobs {}
-        /// Shows a job.
+        /// Show a job.
         cmd job {
-            /// The team.
+            /// Name of the team.
             required team: String
-            /// The job.
+            /// Id of the job.
             required job: String
-            /// Show its progress until it ends.
+            /// Show progress until the job ends.
             optional --follow
         }
-        /// Cancels a job, for good.
+        /// Cancel a job permanently.
         cmd cancel {
-            /// The team.
+            /// Name of the team.
             required team: String
-            /// The job.
+            /// Id of the job.
             required job: String
         }
-        /// Measures a running system, or one role by itself, over loopback.
+        /// Measure a running system over loopback, or a single component in this process.
         cmd bench {
-            /// Sends online requests at a steady rate.
+            /// Send online requests at a constant rate and measure their latency.
             cmd online {
-                /// Caller addresses, separated by commas.
+                /// Caller addresses of the hosts, separated by commas.
                 required --callers callers: String
-                /// A key.
+                /// API key.
                 required --key key: String
-                /// The model.
+                /// Name of the model.
                 required --model model: String
-                /// Requests a second.
+                /// Requests per second [default: 50]
                 optional --rate rate: f64
-                /// For how many seconds; 60 at most.
+                /// Duration in seconds, at most 60 [default: 10]
                 optional --seconds seconds: u64
-                /// Tokens of each answer.
+                /// Tokens of each response [default: 16]
                 optional --tokens tokens: usize
-                /// Compare with an engine called directly, ip:port.
+                /// Address of an engine to call directly for comparison, ip:port.
                 optional --direct direct: String
-                /// Append the results to this file, a JSON line each.
+                /// Append each result to this file as a line of JSON.
                 optional --out out: PathBuf
             }
-            /// Sends requests one after the other from so many callers at once, as fast as they are
-            /// answered: through the daemons and to an engine directly, in turns.
+            /// Send requests from concurrent callers, each as soon as its previous one is answered,
+            /// alternating between the daemons and an engine called directly.
             cmd throughput {
-                /// Caller addresses, separated by commas.
+                /// Caller addresses of the hosts, separated by commas.
                 required --callers callers: String
-                /// A key.
+                /// API key.
                 required --key key: String
-                /// The model.
+                /// Name of the model.
                 required --model model: String
-                /// An engine to call directly, ip:port.
+                /// Address of the engine to call directly, ip:port.
                 required --direct direct: String
-                /// Callers at once.
+                /// Number of concurrent callers [default: 64]
                 optional --concurrency concurrency: usize
-                /// Seconds of each of four turns; 15 at most.
+                /// Seconds of each of the four turns, at most 15 [default: 4]
                 optional --seconds seconds: u64
-                /// Append the results to this file, a JSON line each.
+                /// Append each result to this file as a line of JSON.
                 optional --out out: PathBuf
             }
-            /// Grants and withdraws keys, and times until every host goes by it.
+            /// Grant and withdraw keys, and measure the time until each change is effective on every host.
             cmd changes {
-                /// Caller addresses, separated by commas.
+                /// Caller addresses of the hosts, separated by commas.
                 required --callers callers: String
                 /// Operator addresses of the same hosts, separated by commas.
                 required --operators operators: String
-                /// A declared team.
+                /// Name of a declared team.
                 required --team team: String
-                /// How many keys.
+                /// Number of keys [default: 20]
                 optional --count count: usize
-                /// What the run is called in the results.
+                /// Name of the run in the results.
                 optional --name name: String
-                /// Append the results to this file, a JSON line each.
+                /// Append each result to this file as a line of JSON.
                 optional --out out: PathBuf
             }
-            /// Sends a batch job and waits for its results.
+            /// Submit a batch job and wait for its results.
             cmd batch {
-                /// Caller addresses, separated by commas.
+                /// Caller addresses of the hosts, separated by commas.
                 required --callers callers: String
-                /// A key.
+                /// API key.
                 required --key key: String
-                /// The model.
+                /// Name of the model.
                 required --model model: String
-                /// Items of the job.
+                /// Number of items of the job [default: 1000]
                 optional --items items: usize
-                /// Tokens of each answer.
+                /// Tokens of each response [default: 8]
                 optional --tokens tokens: usize
-                /// Append the results to this file, a JSON line each.
+                /// Append each result to this file as a line of JSON.
                 optional --out out: PathBuf
             }
-            /// Offers one team's requests and counts what is admitted above and refused within its rate.
+            /// Send requests of one team and count those admitted above its rate and those refused for rate.
             cmd quota {
-                /// Caller addresses, separated by commas.
+                /// Caller addresses of the hosts, separated by commas.
                 required --callers callers: String
-                /// A key of the team.
+                /// API key of the team.
                 required --key key: String
-                /// The model.
+                /// Name of the model.
                 required --model model: String
-                /// The team's rate, as declared.
+                /// Declared rate of the team, per second.
                 required --rate rate: f64
-                /// The team's burst, as declared.
+                /// Declared burst of the team.
                 required --burst burst: f64
-                /// What is offered, as a multiple of the rate.
+                /// Offered load as a multiple of the rate.
                 required --offer offer: f64
-                /// For how many seconds; 60 at most.
+                /// Duration in seconds, at most 60 [default: 10]
                 optional --seconds seconds: u64
-                /// What the run is called in the results.
+                /// Name of the run in the results.
                 optional --name name: String
-                /// Append the results to this file, a JSON line each.
+                /// Append each result to this file as a line of JSON.
                 optional --out out: PathBuf
             }
-            /// Sends calls that may not be repeated, again through other hosts where one fails, and
-            /// counts how often the service stand-in ran each.
+            /// Send non-idempotent calls, retry failed ones through other hosts, and count how often
+            /// the service stand-in ran each.
             cmd once {
-                /// Caller addresses, separated by commas.
+                /// Caller addresses of the hosts, separated by commas.
                 required --callers callers: String
-                /// A key.
+                /// API key.
                 required --key key: String
-                /// Where the service stand-in listens, ip:port.
+                /// Address of the service stand-in, ip:port.
                 required --service service: String
-                /// Calls in all.
+                /// Number of calls [default: 1000]
                 optional --calls calls: usize
-                /// Calls a second.
+                /// Calls per second [default: 200]
                 optional --rate rate: f64
-                /// What the run is called in the results.
+                /// Name of the run in the results.
                 optional --name name: String
-                /// Append the results to this file, a JSON line each.
+                /// Append each result to this file as a line of JSON.
                 optional --out out: PathBuf
             }
-            /// Watches what daemons cost while nothing, or something, is asked of them.
+            /// Measure CPU, memory and peer calls of daemons, idle or under load.
             cmd control {
                 /// Operator addresses of the daemons, separated by commas.
                 required --operators operators: String
-                /// Process numbers of the daemons, separated by commas.
+                /// Process ids of the daemons, separated by commas.
                 required --pids pids: String
-                /// For how many seconds; 60 at most.
+                /// Duration in seconds, at most 60 [default: 10]
                 optional --seconds seconds: u64
-                /// What the run is called in the results.
+                /// Name of the run in the results.
                 optional --name name: String
-                /// Append the results to this file, a JSON line each.
+                /// Append each result to this file as a line of JSON.
                 optional --out out: PathBuf
             }
-            /// Replays a load or fault against the decisions of hosts, without I/O.
+            /// Replay a load or fault pattern against the hosts' decision logic, without I/O.
             cmd replay {
-                /// waves, job-burst, lost-targets, failing-targets or mass-loss.
+                /// Pattern: waves, job-burst, lost-targets, failing-targets, mass-loss or power-dip.
                 required --pattern pattern: String
-                /// Hosts; 12 where it is left out, 1,000 at most.
+                /// Number of hosts, at most 1,000 [default: 12]
                 optional --hosts hosts: usize
-                /// Targets; as many as hosts where it is left out.
+                /// Number of targets [default: the number of hosts]
                 optional --targets targets: usize
-                /// How old news between hosts is, in milliseconds.
+                /// Interval of load reports between hosts, in milliseconds [default: 10]
                 optional --news-ms news_ms: u64
-                /// Decides arrivals and draws.
+                /// Seed of arrivals and random choices [default: 1]
                 optional --seed seed: u64
-                /// Append the results to this file, a JSON line each.
+                /// Append each result to this file as a line of JSON.
                 optional --out out: PathBuf
             }
-            /// Measures what the roles cost, as slopes over size.
+            /// Measure the cost of each component as a linear function of its size.
             cmd roles {
-                /// Append the results to this file, a JSON line each.
+                /// Append each result to this file as a line of JSON.
                 optional --out out: PathBuf
             }
         }
