--- a/crates/cuminramp-cli/src/bench/caller.rs
+++ b/crates/cuminramp-cli/src/bench/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the system, as the measurements use it.
+//! HTTP client with which the benchmarks call the hosts.
 
 use std::time::Duration;
 
@@ -10,43 +10,43 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-/// How long a caller waits for anything.
-const CALL_LIMIT: Duration = Duration::from_secs(60);
-/// The largest answer that is read.
-const MOST_ANSWER_BYTES: usize = 512 << 20;
-/// The event that ends a stream.
-const DONE: &[u8] = b"data: [DONE]";
+/// Timeout after which a call without a response head fails; reading a body may take as long again.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum size of a response body in bytes; larger ones fail the call.
+const MAX_RESPONSE_BYTES: usize = 512 << 20;
+/// Event that ends a complete stream.
+const DONE_EVENT: &[u8] = b"data: [DONE]";
 
-/// How a streamed answer went.
+/// Timing of a streamed response, in which each body frame counts as one event.
 pub(crate) struct StreamTimes {
-    /// Until the first event.
-    pub(crate) first: Duration,
-    /// Between events.
+    /// Time from sending the request to the first event.
+    pub(crate) first_event: Duration,
+    /// Times between consecutive events.
     pub(crate) gaps: Vec<Duration>,
-    /// Whether the stream ended whole.
-    pub(crate) whole: bool,
+    /// Whether the final `[DONE]` event was received.
+    pub(crate) is_complete: bool,
 }
 
-/// Why a call gave no answer.
+/// Reason why a call failed.
 pub(crate) enum CallFailure {
-    /// A refusal with its code.
+    /// The host refused the call with this result code.
     Refused(u64),
-    /// The connection failed.
-    Broken(String),
+    /// The connection failed, or the response was late or too large.
+    ConnectionFailed(String),
 }
 
-/// Why a call that may not be repeated gave no answer.
+/// Reason why a non-idempotent call failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum NamedFailure {
-    /// The host says that it did not run.
+pub(crate) enum NonIdempotentFailure {
+    /// The host reported that the call did not run.
     NotRun,
-    /// The host says that it ran or may have.
+    /// The host reported that the call ran or may have run, or reported nothing about it.
     MayHaveRun,
-    /// The connection failed.
-    Broken,
+    /// The connection failed, so the outcome is unknown.
+    ConnectionFailed,
 }
 
-/// A caller with a key, spreading its calls over hosts.
+/// Caller with an API key that distributes its calls over hosts by call number.
 pub(crate) struct BenchCaller {
     hosts: Vec<BenchHost>,
     key: String,
@@ -58,9 +58,9 @@
 }
 
 impl BenchCaller {
-    /// A caller of the addresses, which are separated by commas.
+    /// Creates a caller of `addresses`, which are separated by commas.
     pub(crate) fn new(addresses: &str, key: &str) -> Self {
-        let limits = CallLimits { connect: CALL_LIMIT, first_byte: CALL_LIMIT };
+        let limits = CallLimits { connect: CALL_TIMEOUT, first_byte: CALL_TIMEOUT };
         let hosts = addresses.split(',').map(|address| BenchHost {
             address: address.trim().to_owned(),
             client: HttpClient::new(limits),
@@ -81,10 +81,11 @@
         body: Bytes,
     ) -> Result<http::Response<hyper::body::Incoming>, CallFailure> {
         let builder = Request::builder().method(method).header(CONTENT_TYPE, content_type);
-        self.send_built(number, builder, path, body).await
+        self.send_with(number, builder, path, body).await
     }
 
-    async fn send_built(
+    /// Adds address, API key and body to the request and sends it to the host of the call number.
+    async fn send_with(
         &self,
         number: usize,
         builder: http::request::Builder,
@@ -96,32 +97,33 @@
             .uri(format!("http://{}{path}", host.address))
             .header(AUTHORIZATION, format!("Bearer {}", self.key))
             .body(Full::new(body))
-            .map_err(|error| CallFailure::Broken(error.to_string()))?;
-        host.client.send(request).await.map_err(broken)
+            .map_err(|error| CallFailure::ConnectionFailed(error.to_string()))?;
+        host.client.send(request).await.map_err(connection_failure)
     }
 
-    /// Makes a call that may not be repeated.
-    pub(crate) async fn call_named(
+    /// Sends a non-idempotent call with `idempotency_key`, so that its retries run at most once.
+    pub(crate) async fn call_non_idempotent(
         &self,
         number: usize,
         path: &str,
-        name: &str,
+        idempotency_key: &str,
         body: Bytes,
-    ) -> Result<(), NamedFailure> {
-        let builder = Request::builder().method(Method::POST).header("idempotency-key", name);
-        let sent = self.send_built(number, builder, path, body).await;
-        let response = sent.map_err(|_| NamedFailure::Broken)?;
+    ) -> Result<(), NonIdempotentFailure> {
+        let builder =
+            Request::builder().method(Method::POST).header("idempotency-key", idempotency_key);
+        let sent = self.send_with(number, builder, path, body).await;
+        let response = sent.map_err(|_| NonIdempotentFailure::ConnectionFailed)?;
         if response.status() == StatusCode::OK {
             return Ok(());
         }
         let execution = response.headers().get("cuminramp-execution").cloned();
         Err(match execution.as_ref().and_then(|value| value.to_str().ok()) {
-            Some("not run") => NamedFailure::NotRun,
-            _ => NamedFailure::MayHaveRun,
+            Some("not run") => NonIdempotentFailure::NotRun,
+            _ => NonIdempotentFailure::MayHaveRun,
         })
     }
 
-    /// Calls and reads a whole answer.
+    /// Sends a call and returns the complete response body.
     pub(crate) async fn call(
         &self,
         number: usize,
@@ -132,12 +134,13 @@
     ) -> Result<Bytes, CallFailure> {
         let response = self.send(number, method, path, content_type, body).await?;
         let status = response.status();
-        let body =
-            read_body(response.into_body(), MOST_ANSWER_BYTES, CALL_LIMIT).await.map_err(broken)?;
-        if status == StatusCode::OK { Ok(body) } else { Err(refused(&body)) }
+        let body = read_body(response.into_body(), MAX_RESPONSE_BYTES, CALL_TIMEOUT)
+            .await
+            .map_err(connection_failure)?;
+        if status == StatusCode::OK { Ok(body) } else { Err(refusal(&body)) }
     }
 
-    /// Asks for a streamed answer and times its events.
+    /// Sends a request for a streamed response and measures the times of its events.
     pub(crate) async fn stream(
         &self,
         number: usize,
@@ -147,38 +150,39 @@
         let path = "/v1/chat/completions";
         let response = self.send(number, Method::POST, path, "application/json", body).await?;
         if response.status() != StatusCode::OK {
-            let body = read_body(response.into_body(), MOST_ANSWER_BYTES, CALL_LIMIT).await;
-            return Err(refused(&body.unwrap_or_default()));
+            let body = read_body(response.into_body(), MAX_RESPONSE_BYTES, CALL_TIMEOUT).await;
+            return Err(refusal(&body.unwrap_or_default()));
         }
         let mut body = response.into_body();
-        let mut times = StreamTimes { first: Duration::ZERO, gaps: Vec::new(), whole: false };
-        let mut last = started;
+        let mut times =
+            StreamTimes { first_event: Duration::ZERO, gaps: Vec::new(), is_complete: false };
+        let mut last_frame = started;
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|error| CallFailure::Broken(error.to_string()))?;
+            let frame = frame.map_err(|error| CallFailure::ConnectionFailed(error.to_string()))?;
             let Ok(data) = frame.into_data() else { continue };
             let now = Instant::now();
-            if times.first.is_zero() {
-                times.first = now - started;
+            if times.first_event.is_zero() {
+                times.first_event = now - started;
             } else {
-                times.gaps.push(now - last);
+                times.gaps.push(now - last_frame);
             }
-            last = now;
-            times.whole |= data.windows(DONE.len()).any(|window| window == DONE);
+            last_frame = now;
+            times.is_complete |= data.windows(DONE_EVENT.len()).any(|window| window == DONE_EVENT);
         }
         Ok(times)
     }
 }
 
-fn broken(error: CallError) -> CallFailure {
-    CallFailure::Broken(error.to_string())
+fn connection_failure(error: CallError) -> CallFailure {
+    CallFailure::ConnectionFailed(error.to_string())
 }
 
-fn refused(body: &[u8]) -> CallFailure {
+fn refusal(body: &[u8]) -> CallFailure {
     let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
     CallFailure::Refused(body["error"]["cuminramp_code"].as_u64().unwrap_or_default())
 }
 
-/// The body of a chat request.
+/// Returns the body of a chat completion request.
 pub(crate) fn chat_body(model: &str, prompt: &str, tokens: usize, stream: bool) -> Value {
     json!({
         "model": model,
--- a/crates/cuminramp-cli/src/bench/changes.rs
+++ b/crates/cuminramp-cli/src/bench/changes.rs
@@ -10,23 +10,23 @@
 
 use crate::bench::caller::BenchCaller;
 use crate::bench::record::{new_histogram, record, summarize};
-use crate::connection::{CommandError, OperatorConnection};
+use crate::connection::{CommandError, OperatorClient};
 use crate::flags::Changes;
 
-/// Keys where none are named.
+/// Number of keys if `--count` is not given.
 const DEFAULT_COUNT: usize = 20;
-/// Waits between looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
-/// The longest time that a change may take.
-const CHANGE_LIMIT: Duration = Duration::from_secs(30);
+/// Interval at which a host is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Timeout after which the run fails if a change is not effective on every host.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Times from an operator's call to the moment at which every host goes by it.
+/// Measures the time from an operator's call until its change is effective on every host.
 pub(crate) async fn execute(flags: Changes) -> Result<(), CommandError> {
     let count = flags.count.unwrap_or(DEFAULT_COUNT);
-    let operators: Vec<OperatorConnection> = flags
+    let operators: Vec<OperatorClient> = flags
         .operators
         .split(',')
-        .map(|address| OperatorConnection::new(Some(address.to_owned()), None))
+        .map(|address| OperatorClient::new(Some(address.to_owned()), None))
         .collect();
     let hosts = operators.len();
     let (mut granted, mut withdrawn) = (new_histogram()?, new_histogram()?);
@@ -34,15 +34,15 @@
         let operator = &operators[number % hosts];
         let body = json!({"team": flags.team, "label": format!("bench-{number}")}).to_string();
         let started = Instant::now();
-        let answer = operator.send(Method::POST, "/operator/keys", body.into()).await?;
-        let key = answer["key"].as_str().unwrap_or_default().to_owned();
+        let response = operator.send(Method::POST, "/operator/keys", body.into()).await?;
+        let key = response["key"].as_str().unwrap_or_default().to_owned();
         let caller = BenchCaller::new(&flags.callers, &key);
-        wait_for_all(&caller, hosts, true, started, &mut granted).await?;
+        wait_until_effective(&caller, hosts, true, started, &mut granted).await?;
         let started = Instant::now();
         let path = format!("/operator/keys/{key}");
         let other = &operators[(number + 1) % hosts];
         other.send(Method::DELETE, &path, Bytes::new()).await?;
-        wait_for_all(&caller, hosts, false, started, &mut withdrawn).await?;
+        wait_until_effective(&caller, hosts, false, started, &mut withdrawn).await?;
     }
     record(
         flags.out.as_deref(),
@@ -54,11 +54,11 @@
     )
 }
 
-/// Waits until every host takes the key, or none does.
-async fn wait_for_all(
+/// Waits until every host accepts the caller's key, or until every host refuses it, and records the time.
+async fn wait_until_effective(
     caller: &BenchCaller,
     hosts: usize,
-    wanted: bool,
+    accepted: bool,
     started: Instant,
     times: &mut Histogram<u64>,
 ) -> Result<(), CommandError> {
@@ -67,13 +67,15 @@
             let call = caller
                 .call(host, Method::GET, "/v1/models", "application/json", Bytes::new())
                 .await;
-            if call.is_ok() == wanted {
+            if call.is_ok() == accepted {
                 break;
             }
-            if started.elapsed() > CHANGE_LIMIT {
-                return Err(CommandError::Failed(format!("host {host} does not go by the change")));
+            if started.elapsed() > CHANGE_TIMEOUT {
+                return Err(CommandError::Failed(format!(
+                    "host {host} has not applied the change"
+                )));
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     times.saturating_record(started.elapsed().as_micros() as u64);
--- a/crates/cuminramp-cli/src/bench/mod.rs
+++ b/crates/cuminramp-cli/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! `cuminramp bench`: measurements over loopback.
+//! `cuminramp bench`: benchmarks of running daemons over loopback, and of components in this process.
 
 mod batch;
 mod caller;
@@ -15,7 +15,7 @@
 use crate::connection::CommandError;
 use crate::flags::{Bench, BenchCmd};
 
-/// Runs one measurement.
+/// Runs one benchmark.
 pub(crate) async fn execute(flags: Bench) -> Result<(), CommandError> {
     match flags.subcommand {
         BenchCmd::Online(flags) => online::execute(flags).await,
--- a/crates/cuminramp-cli/src/bench/online.rs
+++ b/crates/cuminramp-cli/src/bench/online.rs
@@ -14,33 +14,40 @@
 use crate::connection::CommandError;
 use crate::flags::Online;
 
-/// Requests a second where none are named.
+/// Requests per second if `--rate` is not given.
 const DEFAULT_RATE: f64 = 50.0;
-/// Seconds where none are named.
+/// Duration in seconds if `--seconds` is not given.
 const DEFAULT_SECONDS: u64 = 10;
-/// The longest run.
-const MOST_SECONDS: u64 = 60;
-/// Tokens where none are named.
+/// Maximum duration of a run in seconds.
+const MAX_SECONDS: u64 = 60;
+/// Tokens of each response if `--tokens` is not given.
 const DEFAULT_TOKENS: usize = 16;
 
-/// What came of one side of a run.
+/// Outcomes of the requests of one side, through the daemons or to the engine directly.
+///
+/// Times are in microseconds.
 struct SideResult {
-    first: Histogram<u64>,
+    /// Times to the first event.
+    first_event: Histogram<u64>,
+    /// Times between consecutive events.
     gaps: Histogram<u64>,
-    whole: u64,
-    cut: u64,
-    broken: u64,
+    /// Number of streams that ended with the final `[DONE]` event.
+    complete: u64,
+    /// Number of streams that ended without it.
+    truncated: u64,
+    connection_failures: u64,
+    /// Number of refusals by result code.
     refused: SortedMap<u64, u64>,
 }
 
 impl SideResult {
     fn new() -> Result<Self, CommandError> {
         Ok(SideResult {
-            first: new_histogram()?,
+            first_event: new_histogram()?,
             gaps: new_histogram()?,
-            whole: 0,
-            cut: 0,
-            broken: 0,
+            complete: 0,
+            truncated: 0,
+            connection_failures: 0,
             refused: SortedMap::new(),
         })
     }
@@ -48,15 +55,15 @@
     fn add(&mut self, outcome: Result<StreamTimes, CallFailure>) {
         match outcome {
             Ok(times) => {
-                self.first.saturating_record(times.first.as_micros() as u64);
+                self.first_event.saturating_record(times.first_event.as_micros() as u64);
                 for gap in &times.gaps {
                     self.gaps.saturating_record(gap.as_micros() as u64);
                 }
-                self.whole += u64::from(times.whole);
-                self.cut += u64::from(!times.whole);
+                self.complete += u64::from(times.is_complete);
+                self.truncated += u64::from(!times.is_complete);
             }
             Err(CallFailure::Refused(code)) => *self.refused.get_or_insert_with(code, || 0) += 1,
-            Err(CallFailure::Broken(_)) => self.broken += 1,
+            Err(CallFailure::ConnectionFailed(_)) => self.connection_failures += 1,
         }
     }
 
@@ -68,17 +75,20 @@
             .collect();
         json!({
             "bench": "online", "side": side, "rate": rate, "tokens": tokens,
-            "whole": self.whole, "cut": self.cut, "broken": self.broken, "refused": refused,
-            "first-token": summarize(&self.first), "between-tokens": summarize(&self.gaps),
+            "whole": self.complete, "cut": self.truncated, "broken": self.connection_failures,
+            "refused": refused,
+            "first-token": summarize(&self.first_event), "between-tokens": summarize(&self.gaps),
         })
     }
 }
 
-/// Sends requests at a steady rate whatever becomes of earlier ones; with an engine to call directly,
-/// every second request goes there, so that both sides see the same moments.
+/// Sends requests at a constant rate, without waiting for earlier ones.
+///
+/// With `--direct`, every second request is sent to the engine directly, so that both sides are measured
+/// under the same conditions.
 pub(crate) async fn execute(flags: Online) -> Result<(), CommandError> {
     let rate = flags.rate.unwrap_or(DEFAULT_RATE);
-    let seconds = flags.seconds.unwrap_or(DEFAULT_SECONDS).min(MOST_SECONDS);
+    let seconds = flags.seconds.unwrap_or(DEFAULT_SECONDS).min(MAX_SECONDS);
     let tokens = flags.tokens.unwrap_or(DEFAULT_TOKENS);
     let through = Arc::new(BenchCaller::new(&flags.callers, &flags.key));
     let direct = flags.direct.as_deref().map(|address| Arc::new(BenchCaller::new(address, "")));
@@ -111,15 +121,16 @@
     Ok(())
 }
 
+/// Compares the time to the first event of both sides, as a ratio and as a difference in milliseconds.
 fn compare(sides: &[SideResult; 2]) -> serde_json::Value {
     let ratio = |quantile: f64| {
-        let [through, direct] =
-            [&sides[0].first, &sides[1].first].map(|side| side.value_at_quantile(quantile));
+        let [through, direct] = [&sides[0].first_event, &sides[1].first_event]
+            .map(|side| side.value_at_quantile(quantile));
         through as f64 / direct.max(1) as f64
     };
     let added = |quantile: f64| {
-        let [through, direct] =
-            [&sides[0].first, &sides[1].first].map(|side| side.value_at_quantile(quantile));
+        let [through, direct] = [&sides[0].first_event, &sides[1].first_event]
+            .map(|side| side.value_at_quantile(quantile));
         (through as f64 - direct as f64) / 1_000.0
     };
     json!({
--- a/crates/cuminramp-cli/src/cmd/apply.rs
+++ b/crates/cuminramp-cli/src/cmd/apply.rs
@@ -9,16 +9,17 @@
 use tokio::time::Instant;
 
 use crate::cmd::read_file;
-use crate::connection::{CommandError, OperatorConnection};
+use crate::connection::{CommandError, OperatorClient};
 use crate::flags::Apply;
 use crate::output::print_json;
 
-/// Waits between looks at which hosts have a generation in force.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+/// Interval at which the generations of the hosts are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Makes a file the next generation, and waits for it if asked to.
+/// Applies a declaration file as the next generation; with `--wait`, waits until every live host has it
+/// in force.
 pub(crate) async fn execute(
-    operator: &OperatorConnection,
+    operator: &OperatorClient,
     json: bool,
     flags: Apply,
 ) -> Result<(), CommandError> {
@@ -27,46 +28,47 @@
     if let Some(generation) = flags.expect {
         path.push_str(&format!("&expect={generation}"));
     }
-    let answer = operator.send(Method::PUT, &path, text.into()).await?;
+    let response = operator.send(Method::PUT, &path, text.into()).await?;
     if json {
-        print_json(&answer);
+        print_json(&response);
     } else {
-        print_changes(&answer);
+        print_changes(&response);
     }
-    let generation = answer["generation"].as_u64().unwrap_or_default();
+    let generation = response["generation"].as_u64().unwrap_or_default();
     match flags.wait {
-        Some(seconds) => wait_for(operator, generation, Duration::from_secs(seconds)).await,
+        Some(seconds) => await_generation(operator, generation, Duration::from_secs(seconds)).await,
         None => Ok(()),
     }
 }
 
-fn print_changes(answer: &Value) {
-    for change in answer["changes"].as_array().into_iter().flatten() {
+fn print_changes(response: &Value) {
+    for change in response["changes"].as_array().into_iter().flatten() {
         let field = |name: &str| change[name].as_str().unwrap_or_default().to_owned();
         println!("{} {} {}", field("change"), field("table"), field("name"));
     }
-    let applied = answer["applied"].as_bool().unwrap_or_default();
-    println!("generation {}{}", answer["generation"], if applied { "" } else { " (unchanged)" });
+    let applied = response["applied"].as_bool().unwrap_or_default();
+    println!("generation {}{}", response["generation"], if applied { "" } else { " (unchanged)" });
 }
 
-async fn wait_for(
-    operator: &OperatorConnection,
+/// Waits until every host reports `generation` or a later one; after `timeout` fails and names the others.
+async fn await_generation(
+    operator: &OperatorClient,
     generation: u64,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<(), CommandError> {
     let started = Instant::now();
-    let bar = make_bar();
+    let bar = new_progress_bar();
     loop {
-        let answer = operator.get("/operator/generations").await?;
-        let hosts = answer["hosts"].as_array().cloned().unwrap_or_default();
-        let behind: Vec<String> = hosts
+        let response = operator.get("/operator/generations").await?;
+        let hosts = response["hosts"].as_array().cloned().unwrap_or_default();
+        let pending: Vec<String> = hosts
             .iter()
             .filter(|host| host["generation"].as_u64().unwrap_or_default() < generation)
             .map(|host| host["host"].as_str().unwrap_or_default().to_owned())
             .collect();
         bar.set_length(hosts.len() as u64);
-        bar.set_position((hosts.len() - behind.len()) as u64);
-        if behind.is_empty() {
+        bar.set_position((hosts.len() - pending.len()) as u64);
+        if pending.is_empty() {
             bar.finish_and_clear();
             println!(
                 "in force on {} hosts after {} ms",
@@ -75,16 +77,16 @@
             );
             return Ok(());
         }
-        if started.elapsed() > limit {
+        if started.elapsed() > timeout {
             bar.finish_and_clear();
-            return Err(CommandError::Failed(format!("not in force on {}", behind.join(" "))));
+            return Err(CommandError::Failed(format!("not in force on {}", pending.join(" "))));
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A bar where a person looks on.
-pub(crate) fn make_bar() -> ProgressBar {
+/// Creates a progress bar on stderr, hidden unless stderr is a terminal.
+pub(crate) fn new_progress_bar() -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
--- a/crates/cuminramp-cli/src/cmd/cancel.rs
+++ b/crates/cuminramp-cli/src/cmd/cancel.rs
@@ -3,15 +3,12 @@
 use bytes::Bytes;
 use http::Method;
 
-use crate::connection::{CommandError, OperatorConnection};
+use crate::connection::{CommandError, OperatorClient};
 use crate::flags::Cancel;
 use crate::output::print_json;
 
-/// Cancels a job and shows what was done of it.
-pub(crate) async fn execute(
-    operator: &OperatorConnection,
-    flags: &Cancel,
-) -> Result<(), CommandError> {
+/// Cancels a job and prints its state, including how many requests were completed.
+pub(crate) async fn execute(operator: &OperatorClient, flags: &Cancel) -> Result<(), CommandError> {
     let path = format!("/operator/jobs/{}/{}/cancel", flags.team, flags.job);
     print_json(&operator.send(Method::POST, &path, Bytes::new()).await?);
     Ok(())
--- a/crates/cuminramp-cli/src/cmd/job.rs
+++ b/crates/cuminramp-cli/src/cmd/job.rs
@@ -2,21 +2,18 @@
 
 use std::time::Duration;
 
-use crate::cmd::make_bar;
-use crate::connection::{CommandError, OperatorConnection};
+use crate::cmd::new_progress_bar;
+use crate::connection::{CommandError, OperatorClient};
 use crate::flags::Job;
 use crate::output::print_json;
 
-/// Waits between looks at a job.
-const LOOK_PAUSE: Duration = Duration::from_secs(1);
+/// Interval at which a job is polled.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Shows a job, and follows it until it ends where asked to.
-pub(crate) async fn execute(
-    operator: &OperatorConnection,
-    flags: &Job,
-) -> Result<(), CommandError> {
+/// Prints a job; with `--follow`, shows its progress and prints it when it has ended.
+pub(crate) async fn execute(operator: &OperatorClient, flags: &Job) -> Result<(), CommandError> {
     let path = format!("/operator/jobs/{}/{}", flags.team, flags.job);
-    let bar = make_bar();
+    let bar = new_progress_bar();
     loop {
         let job = operator.get(&path).await?;
         let count = |name: &str| job["request_counts"][name].as_u64().unwrap_or_default();
@@ -27,6 +24,6 @@
             print_json(&job);
             return Ok(());
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/cuminramp-cli/src/cmd/mod.rs
+++ b/crates/cuminramp-cli/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each subcommand.
+//! Subcommands: one module each, but for the read-only ones, which share [`views`].
 
 mod apply;
 mod cancel;
@@ -8,16 +8,16 @@
 mod views;
 mod withdraw;
 
-pub(crate) use apply::make_bar;
+pub(crate) use apply::new_progress_bar;
 
 use crate::bench;
-use crate::connection::{CommandError, OperatorConnection};
+use crate::connection::{CommandError, OperatorClient};
 use crate::flags::{Cuminramp, CuminrampCmd};
 
-/// Carries out what the command line says.
+/// Runs the subcommand of the command line.
 pub(crate) async fn execute(flags: Cuminramp) -> Result<(), CommandError> {
     let json = flags.json;
-    let operator = OperatorConnection::new(flags.operator, flags.token);
+    let operator = OperatorClient::new(flags.operator, flags.token);
     match flags.subcommand {
         CuminrampCmd::Check(flags) => check::execute(&flags),
         CuminrampCmd::Show(_) => views::show(&operator).await,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Reads a file that an operator named.
+/// Reads a file named on the command line.
 fn read_file(path: &std::path::Path) -> Result<String, CommandError> {
     std::fs::read_to_string(path)
         .map_err(|error| CommandError::Input(format!("{}: {error}", path.display())))
--- a/crates/cuminramp-cli/src/cmd/views.rs
+++ b/crates/cuminramp-cli/src/cmd/views.rs
@@ -1,38 +1,35 @@
-//! Subcommands that only look.
+//! Read-only subcommands: each shows one endpoint of the operator API.
 
-use crate::connection::{CommandError, OperatorConnection};
+use crate::connection::{CommandError, OperatorClient};
 use crate::output::{print_json, print_rows};
 
-/// Shows the declarations in force, as a file that can be edited and applied.
-pub(crate) async fn show(operator: &OperatorConnection) -> Result<(), CommandError> {
-    let answer = operator.get("/operator/declarations").await?;
-    println!("// generation {}", answer["generation"]);
-    print_json(&answer["declarations"]);
+/// Prints the declarations in force in the format that `cuminramp apply` reads.
+pub(crate) async fn show(operator: &OperatorClient) -> Result<(), CommandError> {
+    let response = operator.get("/operator/declarations").await?;
+    println!("// generation {}", response["generation"]);
+    print_json(&response["declarations"]);
     Ok(())
 }
 
-/// Shows which hosts have which generation in force.
-pub(crate) async fn generations(
-    operator: &OperatorConnection,
-    json: bool,
-) -> Result<(), CommandError> {
-    let answer = operator.get("/operator/generations").await?;
-    print_rows(json, &answer, &answer["hosts"], &["host", "generation"]);
+/// Lists hosts with the generation that each has in force.
+pub(crate) async fn generations(operator: &OperatorClient, json: bool) -> Result<(), CommandError> {
+    let response = operator.get("/operator/generations").await?;
+    print_rows(json, &response, &response["hosts"], &["host", "generation"]);
     Ok(())
 }
 
-/// Shows hosts.
-pub(crate) async fn hosts(operator: &OperatorConnection, json: bool) -> Result<(), CommandError> {
-    let answer = operator.get("/operator/hosts").await?;
+/// Lists hosts.
+pub(crate) async fn hosts(operator: &OperatorClient, json: bool) -> Result<(), CommandError> {
+    let response = operator.get("/operator/hosts").await?;
     let columns =
         ["address", "caller-address", "availability-zone", "status", "listed", "incarnation"];
-    print_rows(json, &answer, &answer["hosts"], &columns);
+    print_rows(json, &response, &response["hosts"], &columns);
     Ok(())
 }
 
-/// Shows targets.
-pub(crate) async fn targets(operator: &OperatorConnection, json: bool) -> Result<(), CommandError> {
-    let answer = operator.get("/operator/targets").await?;
+/// Lists targets and their load.
+pub(crate) async fn targets(operator: &OperatorClient, json: bool) -> Result<(), CommandError> {
+    let response = operator.get("/operator/targets").await?;
     let columns = [
         "pool",
         "target",
@@ -45,27 +42,27 @@
         "reported",
         "report-age-ms",
     ];
-    print_rows(json, &answer, &answer["targets"], &columns);
+    print_rows(json, &response, &response["targets"], &columns);
     Ok(())
 }
 
-/// Shows teams.
-pub(crate) async fn teams(operator: &OperatorConnection, json: bool) -> Result<(), CommandError> {
-    let answer = operator.get("/operator/teams").await?;
-    print_rows(json, &answer, &answer["teams"], &["team", "rate", "burst", "weight", "owners"]);
+/// Lists teams and the hosts that own their rate.
+pub(crate) async fn teams(operator: &OperatorClient, json: bool) -> Result<(), CommandError> {
+    let response = operator.get("/operator/teams").await?;
+    print_rows(json, &response, &response["teams"], &["team", "rate", "burst", "weight", "owners"]);
     Ok(())
 }
 
 /// Lists keys.
-pub(crate) async fn keys(operator: &OperatorConnection, json: bool) -> Result<(), CommandError> {
-    let answer = operator.get("/operator/keys").await?;
-    print_rows(json, &answer, &answer["keys"], &["digest", "team", "label", "withdrawn"]);
+pub(crate) async fn keys(operator: &OperatorClient, json: bool) -> Result<(), CommandError> {
+    let response = operator.get("/operator/keys").await?;
+    print_rows(json, &response, &response["keys"], &["digest", "team", "label", "withdrawn"]);
     Ok(())
 }
 
 /// Lists open jobs.
-pub(crate) async fn jobs(operator: &OperatorConnection, json: bool) -> Result<(), CommandError> {
-    let answer = operator.get("/operator/jobs").await?;
-    print_rows(json, &answer, &answer["jobs"], &["id", "team", "status", "request_counts"]);
+pub(crate) async fn jobs(operator: &OperatorClient, json: bool) -> Result<(), CommandError> {
+    let response = operator.get("/operator/jobs").await?;
+    print_rows(json, &response, &response["jobs"], &["id", "team", "status", "request_counts"]);
     Ok(())
 }
--- a/crates/cuminramp-cli/src/cmd/withdraw.rs
+++ b/crates/cuminramp-cli/src/cmd/withdraw.rs
@@ -3,24 +3,24 @@
 use bytes::Bytes;
 use http::Method;
 
-use crate::connection::{CommandError, OperatorConnection};
+use crate::connection::{CommandError, OperatorClient};
 use crate::flags::Withdraw;
 use crate::output::print_json;
 
-/// Withdraws a key and says how far that has come.
+/// Withdraws a key and prints whether the withdrawal is stored in the table yet.
 pub(crate) async fn execute(
-    operator: &OperatorConnection,
+    operator: &OperatorClient,
     json: bool,
     flags: Withdraw,
 ) -> Result<(), CommandError> {
     let path = format!("/operator/keys/{}", flags.key);
-    let answer = operator.send(Method::DELETE, &path, Bytes::new()).await?;
+    let response = operator.send(Method::DELETE, &path, Bytes::new()).await?;
     if json {
-        print_json(&answer);
-    } else if answer["written"].as_bool().unwrap_or_default() {
-        println!("withdrawn in generation {}", answer["generation"]);
+        print_json(&response);
+    } else if response["written"].as_bool().unwrap_or_default() {
+        println!("withdrawn in generation {}", response["generation"]);
     } else {
-        println!("withdrawn on the live hosts; the table is down and will be told later");
+        println!("withdrawn on the live hosts; the table is unreachable and will be updated later");
     }
     Ok(())
 }
--- a/crates/cuminramp-cli/src/connection.rs
+++ b/crates/cuminramp-cli/src/connection.rs
@@ -1,4 +1,4 @@
-//! Calls to daemons.
+//! Client of the operator API of a daemon.
 
 use std::fmt;
 use std::process::ExitCode;
@@ -11,30 +11,30 @@
 use http_body_util::Full;
 use serde_json::Value;
 
-/// How long an operator's call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(30);
-/// The largest answer that is read.
-const MOST_ANSWER_BYTES: usize = 256 << 20;
-/// The operator address where none is given.
-const DEFAULT_OPERATOR: &str = "127.0.0.1:8081";
-/// The variable that holds the token where none is given.
-const TOKEN_VARIABLE: &str = "CUMINRAMP_TOKEN";
+/// Timeout after which a call without a response head fails; reading the body may take as long again.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum size of a response body in bytes; larger ones fail the call.
+const MAX_RESPONSE_BYTES: usize = 256 << 20;
+/// Operator address used if none is given.
+const DEFAULT_OPERATOR_ADDRESS: &str = "127.0.0.1:8081";
+/// Environment variable that holds the operator token if none is given.
+const TOKEN_ENV_VAR: &str = "CUMINRAMP_TOKEN";
 
-/// Why a command failed.
+/// Reason why a command failed; each variant has its own exit status.
 #[derive(Debug)]
 pub(crate) enum CommandError {
-    /// The input is wrong.
+    /// The command line, a file or the request is invalid.
     Input(String),
-    /// Another change came first.
+    /// Another change was applied first.
     Conflict(String),
-    /// The daemon can't be reached or has no table.
+    /// The daemon is unreachable, or responded that it is unavailable.
     Unreachable(String),
-    /// Anything else.
+    /// Any other failure.
     Failed(String),
 }
 
 impl CommandError {
-    /// The exit status.
+    /// Returns the exit status of the process.
     pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             CommandError::Failed(_) => 1,
@@ -58,53 +58,63 @@
 
 impl std::error::Error for CommandError {}
 
-/// A daemon's operator interface.
-pub(crate) struct OperatorConnection {
+/// Client of one daemon's operator API.
+pub(crate) struct OperatorClient {
     client: HttpClient,
     address: String,
     token: String,
 }
 
-impl OperatorConnection {
-    /// A connection to the daemon that was named, or the usual one.
+impl OperatorClient {
+    /// Creates a client of the daemon at `address`.
+    ///
+    /// Without an address it calls [`DEFAULT_OPERATOR_ADDRESS`]; without a token it reads
+    /// [`TOKEN_ENV_VAR`].
     pub(crate) fn new(address: Option<String>, token: Option<String>) -> Self {
-        let limits = CallLimits { connect: CALL_LIMIT, first_byte: CALL_LIMIT };
-        OperatorConnection {
+        let limits = CallLimits { connect: CALL_TIMEOUT, first_byte: CALL_TIMEOUT };
+        OperatorClient {
             client: HttpClient::new(limits),
-            address: address.unwrap_or_else(|| DEFAULT_OPERATOR.into()),
-            token: token.or_else(|| std::env::var(TOKEN_VARIABLE).ok()).unwrap_or_default(),
+            address: address.unwrap_or_else(|| DEFAULT_OPERATOR_ADDRESS.into()),
+            token: token.or_else(|| std::env::var(TOKEN_ENV_VAR).ok()).unwrap_or_default(),
         }
     }
 
-    /// Reads something.
+    /// Gets `path` and returns its JSON body.
     pub(crate) async fn get(&self, path: &str) -> Result<Value, CommandError> {
         self.send(Method::GET, path, Bytes::new()).await
     }
 
-    /// Reads something that is not JSON.
+    /// Gets `path` and returns its body as text, whatever the status.
     pub(crate) async fn get_text(&self, path: &str) -> Result<String, CommandError> {
-        let answer = self.call(Method::GET, path, Bytes::new()).await?;
-        Ok(String::from_utf8_lossy(&answer.body).into_owned())
+        let response = self.exchange(Method::GET, path, Bytes::new()).await?;
+        Ok(String::from_utf8_lossy(&response.body).into_owned())
     }
 
-    /// Calls and reads the answer; a refusal is an error that names its code and every reason.
+    /// Sends a request and returns the JSON body of the response.
+    ///
+    /// A refusal becomes an error whose message contains its code and every reason.
     pub(crate) async fn send(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
     ) -> Result<Value, CommandError> {
-        let answer = self.call(method, path, body).await?;
-        let value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
-        if answer.status.is_success() { Ok(value) } else { Err(to_error(answer.status, &value)) }
+        let response = self.exchange(method, path, body).await?;
+        let value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
+        if response.status.is_success() {
+            Ok(value)
+        } else {
+            Err(refusal_error(response.status, &value))
+        }
     }
 
-    async fn call(
+    /// Sends a request and returns its response, whatever the status.
+    async fn exchange(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<OperatorAnswer, CommandError> {
+    ) -> Result<OperatorResponse, CommandError> {
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.address))
@@ -117,27 +127,28 @@
         let response =
             self.client.send(request).await.map_err(|error| unreachable(error.to_string()))?;
         let status = response.status();
-        let body = read_body(response.into_body(), MOST_ANSWER_BYTES, CALL_LIMIT)
+        let body = read_body(response.into_body(), MAX_RESPONSE_BYTES, CALL_TIMEOUT)
             .await
             .map_err(|error| unreachable(error.to_string()))?;
-        Ok(OperatorAnswer { status, body })
+        Ok(OperatorResponse { status, body })
     }
 }
 
-/// An answer as it came.
-struct OperatorAnswer {
+/// Status and unparsed body of a response.
+struct OperatorResponse {
     status: StatusCode,
     body: Bytes,
 }
 
-fn to_error(status: StatusCode, body: &Value) -> CommandError {
+/// Converts the JSON body of a refusal to an error; the status decides the kind of error.
+fn refusal_error(status: StatusCode, body: &Value) -> CommandError {
     let code = body["error"]["cuminramp_code"].as_u64().unwrap_or_default();
     let name = body["error"]["code"].as_str().unwrap_or("Unknown");
-    let message = body["error"]["message"].as_str().unwrap_or("no reason was given");
+    let message = body["error"]["message"].as_str().unwrap_or("the response contains no reason");
     let mut text = format!("{code} {name}: {message}");
-    for fault in body["details"]["faults"].as_array().into_iter().flatten() {
-        let place = fault["place"].as_str().unwrap_or_default();
-        let reason = fault["reason"].as_str().unwrap_or_default();
+    for error in body["details"]["faults"].as_array().into_iter().flatten() {
+        let place = error["place"].as_str().unwrap_or_default();
+        let reason = error["reason"].as_str().unwrap_or_default();
         text.push_str(&format!("\n  {place}: {reason}"));
     }
     for change in body["details"]["difference"].as_array().into_iter().flatten() {
--- a/crates/cuminramp-cli/src/main.rs
+++ b/crates/cuminramp-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `cuminramp`: parses its command line and dispatches.
+//! `cuminramp`, the command-line tool for operators: parses the command line and runs the command.
 
 use std::process::ExitCode;
 
