--- a/crates/cuminramp-cli/src/bench/quota.rs
+++ b/crates/cuminramp-cli/src/bench/quota.rs
@@ -13,29 +13,36 @@
 use crate::connection::CommandError;
 use crate::flags::Quota;
 
-/// Seconds where none are named.
+/// Duration in seconds if `--seconds` is not given.
 const DEFAULT_SECONDS: u64 = 10;
-/// The longest run.
-const MOST_SECONDS: u64 = 60;
-/// The code of a refusal for rate.
-const RATE_EXCEEDED: u64 = 1200;
+/// Maximum duration of a run in seconds.
+const MAX_SECONDS: u64 = 60;
+/// Number of `ResultCode::RateExceeded`.
+const RATE_EXCEEDED_CODE: u64 = 1200;
 
-/// An admitted request: it was admitted at some moment between these.
+/// Admitted request. It was admitted at an unknown time between these two.
 #[derive(Clone, Copy)]
 struct AdmittedCall {
+    /// Seconds from the start of the run until the request was sent.
     sent: f64,
+    /// Seconds from the start of the run until the response was received.
     answered: f64,
 }
 
-enum CallEnd {
+/// Outcome of one request.
+enum CallOutcome {
+    /// The request was admitted and answered.
     Admitted(AdmittedCall),
-    OverRate,
+    /// The request was refused because the team exceeded its rate.
+    RateExceeded,
+    /// The request failed for another reason, so whether it was admitted is unknown.
     Other,
 }
 
-/// Offers requests at a steady rate, host after host, and judges what was admitted.
+/// Sends requests at a constant rate to each host in turn, and computes how far the admitted ones exceed
+/// the team's rate and burst.
 pub(crate) async fn execute(flags: Quota) -> Result<(), CommandError> {
-    let seconds = flags.seconds.unwrap_or(DEFAULT_SECONDS).min(MOST_SECONDS);
+    let seconds = flags.seconds.unwrap_or(DEFAULT_SECONDS).min(MAX_SECONDS);
     let caller = Arc::new(BenchCaller::new(&flags.callers, &flags.key));
     let offered = flags.rate * flags.offer;
     let count = (offered * seconds as f64) as usize;
@@ -47,54 +54,60 @@
         calls.spawn(async move { call_once(&caller, number, &model, started).await });
     }
     let mut admitted = Vec::new();
-    let (mut over_rate, mut other) = (0, 0);
-    while let Some(end) = calls.join_next().await {
-        match end {
-            Ok(CallEnd::Admitted(call)) => admitted.push(call),
-            Ok(CallEnd::OverRate) => over_rate += 1,
-            Ok(CallEnd::Other) | Err(_) => other += 1,
+    let (mut rate_exceeded, mut other) = (0, 0);
+    while let Some(outcome) = calls.join_next().await {
+        match outcome {
+            Ok(CallOutcome::Admitted(call)) => admitted.push(call),
+            Ok(CallOutcome::RateExceeded) => rate_exceeded += 1,
+            Ok(CallOutcome::Other) | Err(_) => other += 1,
         }
     }
-    let excess = surest_excess(&admitted, flags.rate, flags.burst);
+    let excess = proven_excess(&admitted, flags.rate, flags.burst);
     record(
         flags.out.as_deref(),
         &json!({
             "bench": "quota", "name": flags.name.unwrap_or_default(),
             "rate": flags.rate, "burst": flags.burst, "offer": flags.offer, "seconds": seconds,
-            "offered": count, "admitted": admitted.len(), "refused-for-rate": over_rate,
-            "other": other, "refused-share": f64::from(over_rate) / count.max(1) as f64,
+            "offered": count, "admitted": admitted.len(), "refused-for-rate": rate_exceeded,
+            "other": other, "refused-share": f64::from(rate_exceeded) / count.max(1) as f64,
             "over-admitted": excess,
         }),
     )
 }
 
-async fn call_once(caller: &BenchCaller, number: usize, model: &str, started: Instant) -> CallEnd {
+async fn call_once(
+    caller: &BenchCaller,
+    number: usize,
+    model: &str,
+    started: Instant,
+) -> CallOutcome {
     let body = chat_body(model, &format!("call {number}"), 1, false).to_string().into();
     let sent = started.elapsed().as_secs_f64();
     let path = "/v1/chat/completions";
     match caller.call(number, Method::POST, path, "application/json", body).await {
         Ok(_) => {
-            CallEnd::Admitted(AdmittedCall { sent, answered: started.elapsed().as_secs_f64() })
+            CallOutcome::Admitted(AdmittedCall { sent, answered: started.elapsed().as_secs_f64() })
         }
-        Err(CallFailure::Refused(RATE_EXCEEDED)) => CallEnd::OverRate,
-        Err(_) => CallEnd::Other,
+        Err(CallFailure::Refused(RATE_EXCEEDED_CODE)) => CallOutcome::RateExceeded,
+        Err(_) => CallOutcome::Other,
     }
 }
 
-/// How many requests were surely admitted above burst and rate, in the window where it is most.
+/// Returns the largest number of requests, over all windows of time, that were certainly admitted above
+/// burst and rate.
 ///
-/// A request counts for a window only if it was sent after the window's start and answered before its
-/// end, so what is found is no effect of the time that calls take.
-fn surest_excess(admitted: &[AdmittedCall], rate: f64, burst: f64) -> f64 {
-    let mut by_answer = admitted.to_vec();
-    by_answer.sort_by(|left, right| left.answered.total_cmp(&right.answered));
-    let mut worst: f64 = 0.0;
+/// A request counts towards a window only if it was sent after the window's start and answered before
+/// its end, so the time that calls take can't cause an apparent excess.
+fn proven_excess(admitted: &[AdmittedCall], rate: f64, burst: f64) -> f64 {
+    let mut by_answer_time = admitted.to_vec();
+    by_answer_time.sort_by(|left, right| left.answered.total_cmp(&right.answered));
+    let mut max_excess: f64 = 0.0;
     for from in admitted.iter().map(|call| call.sent) {
         let mut count = 0.0;
-        for call in by_answer.iter().filter(|call| call.sent >= from) {
+        for call in by_answer_time.iter().filter(|call| call.sent >= from) {
             count += 1.0;
-            worst = worst.max(count - burst - rate * (call.answered - from));
+            max_excess = max_excess.max(count - burst - rate * (call.answered - from));
         }
     }
-    worst
+    max_excess
 }
--- a/crates/cuminramp-cli/src/bench/replay.rs
+++ b/crates/cuminramp-cli/src/bench/replay.rs
@@ -1,4 +1,4 @@
-//! `cuminramp bench replay`: policies of hosts on one load.
+//! `cuminramp bench replay`: replays a load pattern against the hosts' decision logic.
 
 use std::time::Duration;
 
@@ -9,23 +9,23 @@
 use crate::connection::CommandError;
 use crate::flags::Replay;
 
-/// More hosts take minutes.
-const MOST_HOSTS: usize = 1_000;
+/// Maximum number of hosts; a replay with more takes minutes.
+const MAX_HOSTS: usize = 1_000;
 
-/// Replays one plan and prints its figures.
+/// Replays one plan and records its report.
 pub(crate) fn execute(flags: &Replay) -> Result<(), CommandError> {
     let pattern: LoadPattern = flags.pattern.parse().map_err(CommandError::Failed)?;
-    let usual = ReplayPlan::new(pattern, flags.seed.unwrap_or(1));
-    let hosts = flags.hosts.unwrap_or(usual.hosts);
-    if !(1..=MOST_HOSTS).contains(&hosts) || flags.targets == Some(0) {
-        let reason = format!("hosts are 1 to {MOST_HOSTS}, targets at least 1");
+    let defaults = ReplayPlan::new(pattern, flags.seed.unwrap_or(1));
+    let hosts = flags.hosts.unwrap_or(defaults.hosts);
+    if !(1..=MAX_HOSTS).contains(&hosts) || flags.targets == Some(0) {
+        let reason = format!("--hosts must be 1 to {MAX_HOSTS}, and --targets at least 1");
         return Err(CommandError::Failed(reason));
     }
     let plan = ReplayPlan {
         hosts,
         targets: flags.targets.unwrap_or(hosts),
-        news: flags.news_ms.map_or(usual.news, Duration::from_millis),
-        ..usual
+        news: flags.news_ms.map_or(defaults.news, Duration::from_millis),
+        ..defaults
     };
     let result = json!({
         "replay": flags.pattern,
--- a/crates/cuminramp-cli/src/bench/roles.rs
+++ b/crates/cuminramp-cli/src/bench/roles.rs
@@ -1,4 +1,5 @@
-//! `cuminramp bench roles`: what each role costs by itself, as a slope over its size.
+//! `cuminramp bench roles`: measures the time and memory of each component (role) by itself, as a linear
+//! function of its size.
 
 use std::alloc::System;
 use std::time::Duration;
@@ -22,48 +23,49 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Repetitions of an operation whose time is taken.
-const REPEATS: u32 = 2_000;
-/// Zones of the made-up hosts.
+/// Iterations of a timed operation; slow operations run a tenth or a hundredth of them.
+const ITERATIONS: u32 = 2_000;
+/// Number of availability zones of the generated hosts.
 const ZONES: usize = 3;
 
-/// One measured size.
+/// Measurement at one size: mean microseconds per operation, and allocated bytes.
 struct RolePoint {
     size: usize,
     micros: f64,
     bytes: f64,
 }
 
-/// Measures every role.
+/// Measures every role at several sizes.
 pub(crate) fn execute(flags: &Roles) -> Result<(), CommandError> {
     let out = flags.out.as_deref();
     let teams = [10, 1_000, 10_000, 43_000];
     let hosts = [3, 6, 11, 33, 90, 180, 360];
     let shards = [128, 512, 1_024, 4_096];
     let targets = [20, 60, 150];
-    report(out, "configuration-memory-and-apply", "teams", &teams.map(measure_configuration))?;
-    report(out, "key-lookup", "teams", &teams.map(measure_key_lookup))?;
-    report(out, "ledger-memory-and-admit", "teams", &teams.map(measure_ledger))?;
-    report(out, "shard-map-digest", "shards", &shards.map(measure_shard_digest))?;
-    report(out, "shard-claims", "hosts", &hosts.map(measure_claims))?;
-    report(out, "member-table-and-tick", "hosts", &hosts.map(measure_members))?;
-    report(out, "probe-message", "hosts", &hosts.map(measure_probe))?;
-    report(out, "steering", "hosts", &hosts.map(measure_steering))?;
-    report(out, "target-choice", "targets", &targets.map(measure_choice))
+    record_role(out, "configuration-memory-and-apply", "teams", &teams.map(measure_configuration))?;
+    record_role(out, "key-lookup", "teams", &teams.map(measure_key_lookup))?;
+    record_role(out, "ledger-memory-and-admit", "teams", &teams.map(measure_ledger))?;
+    record_role(out, "shard-map-digest", "shards", &shards.map(measure_shard_digest))?;
+    record_role(out, "shard-claims", "hosts", &hosts.map(measure_claims))?;
+    record_role(out, "member-table-and-tick", "hosts", &hosts.map(measure_members))?;
+    record_role(out, "probe-message", "hosts", &hosts.map(measure_probe))?;
+    record_role(out, "steering", "hosts", &hosts.map(measure_steering))?;
+    record_role(out, "target-choice", "targets", &targets.map(measure_choice))
 }
 
-fn report(
+/// Fits lines to the points of a role and records them with the points.
+fn record_role(
     out: Option<&std::path::Path>,
     role: &str,
     axis: &str,
     points: &[RolePoint],
 ) -> Result<(), CommandError> {
-    let over = |value: fn(&RolePoint) -> f64| {
+    let fit = |value: fn(&RolePoint) -> f64| {
         let pairs: Vec<(f64, f64)> =
             points.iter().map(|point| (point.size as f64, value(point))).collect();
-        LineFit::of(&pairs)
+        LineFit::least_squares(&pairs)
     };
-    let (time, memory) = (over(|point| point.micros), over(|point| point.bytes));
+    let (time, memory) = (fit(|point| point.micros), fit(|point| point.bytes));
     let measured: Vec<Value> = points
         .iter()
         .map(|point| json!({axis: point.size, "micros": point.micros, "bytes": point.bytes}))
@@ -76,23 +78,23 @@
     record(out, &result)
 }
 
-/// Bytes that `make` leaves allocated, and what it made.
-fn held_bytes<T>(make: impl FnOnce() -> T) -> (T, f64) {
+/// Runs `make` and returns its result with the number of bytes that remain allocated.
+fn measure_allocation<T>(make: impl FnOnce() -> T) -> (T, f64) {
     let region = Region::new(ALLOCATOR);
     let made = make();
     let change = region.change();
-    let held = change.bytes_allocated as f64 - change.bytes_deallocated as f64
+    let bytes = change.bytes_allocated as f64 - change.bytes_deallocated as f64
         + change.bytes_reallocated as f64;
-    (made, held)
+    (made, bytes)
 }
 
-/// Microseconds that one run of `operation` takes, on average.
-fn micros_each(repeats: u32, mut operation: impl FnMut(u32)) -> f64 {
+/// Returns the mean duration of `operation` in microseconds.
+fn mean_micros(iterations: u32, mut operation: impl FnMut(u32)) -> f64 {
     let started = std::time::Instant::now();
-    for index in 0..repeats {
+    for index in 0..iterations {
         operation(index);
     }
-    started.elapsed().as_secs_f64() * 1e6 / f64::from(repeats)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(iterations)
 }
 
 fn team_name(index: usize) -> Name {
@@ -122,19 +124,19 @@
 }
 
 fn measure_configuration(teams: usize) -> RolePoint {
-    let (configuration, bytes) = held_bytes(|| configuration(teams));
+    let (configuration, bytes) = measure_allocation(|| configuration(teams));
     let team =
         Team { name: "new".into(), rate: 1.0, burst: 2.0, weight: 1, charge: Charge::Requests };
     let change = Change { entry: Some(Entry::Team((&team).into())) };
     let set = ChangeSet { generation: 2, writer: String::new(), changes: vec![change] };
     let micros =
-        micros_each(REPEATS / 100, |_| drop(std::hint::black_box(configuration.apply(&set))));
+        mean_micros(ITERATIONS / 100, |_| drop(std::hint::black_box(configuration.apply(&set))));
     RolePoint { size: teams, micros, bytes }
 }
 
 fn measure_key_lookup(teams: usize) -> RolePoint {
     let configuration = configuration(teams);
-    let micros = micros_each(REPEATS, |index| {
+    let micros = mean_micros(ITERATIONS, |index| {
         let digest = KeyDigest::of_key(&format!("sk-{}", index as usize % teams));
         std::hint::black_box(configuration.find_key(&digest));
     });
@@ -156,8 +158,8 @@
     (0..count).map(host).collect()
 }
 
-/// A ledger that owns every shard.
-fn owning_ledger(policy: LedgerPolicy, now: Instant) -> QuotaLedger {
+/// Creates a ledger that owns every shard.
+fn ledger_owning_all_shards(policy: LedgerPolicy, now: Instant) -> QuotaLedger {
     let me = host(0).id;
     let shards = policy.shards;
     let mut ledger = QuotaLedger::new(me.clone(), policy, now);
@@ -172,13 +174,13 @@
     let now = Instant::now();
     let limits = TeamLimits::from_tokens(10.0, 1_000_000.0);
     let names: Vec<Name> = (0..teams).map(team_name).collect();
-    let mut ledger = owning_ledger(LedgerPolicy::default(), now);
-    let ((), bytes) = held_bytes(|| {
+    let mut ledger = ledger_owning_all_shards(LedgerPolicy::default(), now);
+    let ((), bytes) = measure_allocation(|| {
         for name in &names {
             ledger.admit(name, limits, TOKEN, false, now);
         }
     });
-    let micros = micros_each(REPEATS, |index| {
+    let micros = mean_micros(ITERATIONS, |index| {
         let name = &names[index as usize % teams];
         std::hint::black_box(ledger.admit(name, limits, TOKEN, false, now));
     });
@@ -187,8 +189,8 @@
 
 fn measure_shard_digest(shards: usize) -> RolePoint {
     let policy = LedgerPolicy { shards: shards as u32, ..LedgerPolicy::default() };
-    let (ledger, bytes) = held_bytes(|| owning_ledger(policy, Instant::now()));
-    let micros = micros_each(REPEATS / 10, |_| {
+    let (ledger, bytes) = measure_allocation(|| ledger_owning_all_shards(policy, Instant::now()));
+    let micros = mean_micros(ITERATIONS / 10, |_| {
         std::hint::black_box(ledger.shards().digest_hash());
     });
     RolePoint { size: shards, micros, bytes }
@@ -196,14 +198,14 @@
 
 fn measure_claims(count: usize) -> RolePoint {
     let hosts = hosts(count);
-    let ledger = owning_ledger(LedgerPolicy::default(), Instant::now());
-    let micros = micros_each(REPEATS / 100, |_| {
+    let ledger = ledger_owning_all_shards(LedgerPolicy::default(), Instant::now());
+    let micros = mean_micros(ITERATIONS / 100, |_| {
         std::hint::black_box(ledger.shards().plan_claims(&hosts, |_| true));
     });
     RolePoint { size: count, micros, bytes: 0.0 }
 }
 
-/// A table that knows `count` hosts in all.
+/// Creates a member table with `count` hosts in total.
 fn member_table(count: usize, now: Instant) -> MemberTable {
     let mut table = MemberTable::new(host(0), MemberPolicy::default(), now);
     for other in hosts(count).into_iter().skip(1) {
@@ -215,17 +217,18 @@
 
 fn measure_members(count: usize) -> RolePoint {
     let now = Instant::now();
-    let (mut table, bytes) = held_bytes(|| member_table(count, now));
+    let (mut table, bytes) = measure_allocation(|| member_table(count, now));
     let mut random = SeededRandom::new(1);
-    let micros = micros_each(REPEATS, |_| drop(std::hint::black_box(table.tick(&mut random, now))));
+    let micros =
+        mean_micros(ITERATIONS, |_| drop(std::hint::black_box(table.tick(&mut random, now))));
     RolePoint { size: count, micros, bytes }
 }
 
-/// The bytes of a probe in a quiet fleet, and the time to make and encode it.
+/// Measures the size of a probe without pending updates, and the time to build and encode it.
 fn measure_probe(count: usize) -> RolePoint {
     let now = Instant::now();
     let mut table = member_table(count, now);
-    for _ in 0..REPEATS {
+    for _ in 0..ITERATIONS {
         table.take_updates(None);
     }
     let make = |table: &mut MemberTable| Probe {
@@ -241,14 +244,14 @@
     };
     let bytes = make(&mut table).encoded_len() as f64;
     let micros =
-        micros_each(REPEATS, |_| drop(std::hint::black_box(make(&mut table).encode_to_vec())));
+        mean_micros(ITERATIONS, |_| drop(std::hint::black_box(make(&mut table).encode_to_vec())));
     RolePoint { size: count, micros, bytes }
 }
 
 fn measure_steering(count: usize) -> RolePoint {
     let hosts = hosts(count);
     let planner = SteeringPlanner { homes: 3, keep: Duration::from_secs(30) };
-    let micros = micros_each(REPEATS / 10, |index| {
+    let micros = mean_micros(ITERATIONS / 10, |index| {
         let team = team_name(index as usize);
         std::hint::black_box(planner.plan(&team, "zone-0", &hosts, &[]));
     });
@@ -264,12 +267,12 @@
             leaving: false,
         })
         .collect();
-    let (mut table, bytes) = held_bytes(|| TargetTable::new(TargetPolicy::default()));
-    let ((), added) = held_bytes(|| table.set_targets(&specs, now));
+    let (mut table, bytes) = measure_allocation(|| TargetTable::new(TargetPolicy::default()));
+    let ((), target_bytes) = measure_allocation(|| table.set_targets(&specs, now));
     let mut random = SeededRandom::new(1);
-    let micros = micros_each(REPEATS, |index| {
+    let micros = mean_micros(ITERATIONS, |index| {
         let query = ChoiceQuery { prefix: Some(index.into()), tried: &[] };
         std::hint::black_box(table.choose(&specs, query, &mut random, now));
     });
-    RolePoint { size: count, micros, bytes: bytes + added }
+    RolePoint { size: count, micros, bytes: bytes + target_bytes }
 }
--- a/crates/cuminramp-cli/src/bench/throughput.rs
+++ b/crates/cuminramp-cli/src/bench/throughput.rs
@@ -13,36 +13,37 @@
 use crate::connection::CommandError;
 use crate::flags::Throughput;
 
-/// Callers at once where none are named.
+/// Number of concurrent callers if `--concurrency` is not given.
 const DEFAULT_CONCURRENCY: usize = 64;
-/// Seconds of a turn where none are named.
+/// Seconds of each turn if `--seconds` is not given.
 const DEFAULT_SECONDS: u64 = 4;
-/// The longest turn.
-const MOST_SECONDS: u64 = 15;
-/// Turns of each side; the two take turns, so that both see the same machine.
+/// Maximum duration of a turn in seconds.
+const MAX_SECONDS: u64 = 15;
+/// Turns of each side. The sides alternate, so that both are measured under the same load of the machine.
 const TURNS: usize = 2;
 
-/// What one side did in its turns.
+/// Totals of one side, through the daemons or to the engine directly, over its turns.
 #[derive(Default)]
-struct SideCount {
+struct SideTotals {
     answered: u64,
     failed: u64,
     seconds: f64,
 }
 
-impl SideCount {
+impl SideTotals {
+    /// Returns the answered requests per second.
     fn rate(&self) -> f64 {
         self.answered as f64 / self.seconds
     }
 }
 
-/// Compares requests a second through the daemons with those of an engine called directly.
+/// Compares the requests per second through the daemons with those of an engine called directly.
 pub(crate) async fn execute(flags: Throughput) -> Result<(), CommandError> {
     let concurrency = flags.concurrency.unwrap_or(DEFAULT_CONCURRENCY);
-    let seconds = flags.seconds.unwrap_or(DEFAULT_SECONDS).min(MOST_SECONDS);
+    let seconds = flags.seconds.unwrap_or(DEFAULT_SECONDS).min(MAX_SECONDS);
     let through = Arc::new(BenchCaller::new(&flags.callers, &flags.key));
     let direct = Arc::new(BenchCaller::new(&flags.direct, ""));
-    let mut sides = [SideCount::default(), SideCount::default()];
+    let mut sides = [SideTotals::default(), SideTotals::default()];
     for _ in 0..TURNS {
         for (side, caller) in sides.iter_mut().zip([&through, &direct]) {
             run_turn(side, caller, &flags.model, concurrency, Duration::from_secs(seconds)).await;
@@ -59,36 +60,38 @@
     )
 }
 
+/// Runs one turn of a side and adds its counts to the totals.
 async fn run_turn(
-    side: &mut SideCount,
+    side: &mut SideTotals,
     caller: &Arc<BenchCaller>,
     model: &str,
     concurrency: usize,
-    time: Duration,
+    duration: Duration,
 ) {
     let started = Instant::now();
     let mut callers = JoinSet::new();
     for number in 0..concurrency {
         let (caller, model) = (caller.clone(), model.to_owned());
-        callers.spawn(async move { call_until(&caller, number, &model, started + time).await });
+        callers.spawn(async move { call_until(&caller, number, &model, started + duration).await });
     }
-    while let Some(Ok(count)) = callers.join_next().await {
-        side.answered += count.answered;
-        side.failed += count.failed;
+    while let Some(Ok(totals)) = callers.join_next().await {
+        side.answered += totals.answered;
+        side.failed += totals.failed;
     }
     side.seconds += started.elapsed().as_secs_f64();
 }
 
-async fn call_until(caller: &BenchCaller, number: usize, model: &str, end: Instant) -> SideCount {
-    let mut count = SideCount::default();
+/// Sends requests one after the other until `end` and counts their outcomes.
+async fn call_until(caller: &BenchCaller, number: usize, model: &str, end: Instant) -> SideTotals {
+    let mut totals = SideTotals::default();
     while Instant::now() < end {
-        let prompt = format!("caller {number} asks for {}", count.answered);
+        let prompt = format!("caller {number} asks for {}", totals.answered);
         let body = chat_body(model, &prompt, 1, false).to_string().into();
         let path = "/v1/chat/completions";
         match caller.call(number, Method::POST, path, "application/json", body).await {
-            Ok(_) => count.answered += 1,
-            Err(_) => count.failed += 1,
+            Ok(_) => totals.answered += 1,
+            Err(_) => totals.failed += 1,
         }
     }
-    count
+    totals
 }
