--- a/crates/cuminramp-cli/src/bench/caller.rs
+++ b/crates/cuminramp-cli/src/bench/caller.rs
@@ -101,7 +101,7 @@
         host.client.send(request).await.map_err(connection_failure)
     }
 
-    /// Sends a non-idempotent call with `idempotency_key`, so that its retries run at most once.
+    /// Sends a non-idempotent call with `idempotency_key`, so that it runs at most once over all retries.
     pub(crate) async fn call_non_idempotent(
         &self,
         number: usize,
