--- a/crates/cuminramp-daemon/src/dispatch/mod.rs
+++ b/crates/cuminramp-daemon/src/dispatch/mod.rs
@@ -1,4 +1,8 @@
-//! Takes a request from admission to its answer.
+//! Dispatches admitted requests to targets and relays their answers.
+//!
+//! `queue` makes requests wait while no target has a free slot, `online` chooses targets and retries,
+//! `attempt` runs one attempt, and `relay` forwards the answer, which `events` splits into server-sent
+//! events.
 
 mod attempt;
 mod events;
@@ -15,12 +19,12 @@
 use cuminramp_routes::{Pool, Target};
 use cuminramp_targets::TargetSpec;
 
-/// What the choice of target looks at.
+/// Returns the properties of a pool's targets that the choice of a target depends on.
 pub(crate) fn target_specs(pool: &Pool) -> Vec<TargetSpec> {
     pool.targets.iter().map(target_spec).collect()
 }
 
-/// What the choice looks at of one target.
+/// Returns the properties of one target that the choice of a target depends on.
 pub(crate) fn target_spec(target: &Target) -> TargetSpec {
     TargetSpec { name: target.name.clone(), slots: target.slots, leaving: target.leaving }
 }
--- a/crates/cuminramp-daemon/src/dispatch/target_caller.rs
+++ b/crates/cuminramp-daemon/src/dispatch/target_caller.rs
@@ -1,4 +1,4 @@
-//! Calls targets over HTTP, each with a pool of connections of its own.
+//! Calls targets over HTTP with a separate connection pool for each address.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -13,7 +13,10 @@
 use crate::interfaces::{TargetAnswer, TargetBody, TargetCaller, TargetRequest};
 use crate::state::lock;
 
-/// Calls targets over HTTP.
+/// HTTP client for targets.
+///
+/// Each address has its own connection pool, so the connections to one silent target can be dropped without
+/// affecting the others.
 pub(crate) struct HttpTargets {
     limits: CallLimits,
     clients: Mutex<SortedMap<Name, Arc<HttpClient>>>,
@@ -24,13 +27,14 @@
         HttpTargets { limits, clients: Mutex::default() }
     }
 
+    /// Returns the client for an address, and creates it on first use.
     fn client(&self, address: &str) -> Arc<HttpClient> {
         let mut clients = lock(&self.clients);
-        let make = || Arc::new(HttpClient::new(self.limits));
+        let new_client = || Arc::new(HttpClient::new(self.limits));
         if let Some(client) = clients.get(address) {
             return client.clone();
         }
-        clients.get_or_insert_with(address.into(), make).clone()
+        clients.get_or_insert_with(address.into(), new_client).clone()
     }
 }
 
@@ -42,13 +46,13 @@
         request: TargetRequest,
         first_byte: Duration,
     ) -> Result<TargetAnswer, CallError> {
-        let mut built = Request::builder()
+        let mut outgoing = Request::builder()
             .method(request.method)
             .uri(format!("http://{address}{}", request.path))
             .body(Full::new(request.body))
             .map_err(|error| CallError::NotSent(error.to_string()))?;
-        *built.headers_mut() = request.headers;
-        let response = self.client(address).send_within(built, first_byte).await?;
+        *outgoing.headers_mut() = request.headers;
+        let response = self.client(address).send_within(outgoing, first_byte).await?;
         let (head, body) = response.into_parts();
         let frames = BodyStream::new(body).filter_map(|frame| async move {
             match frame {
