--- a/crates/cuminramp-daemon/src/dispatch/attempt.rs
+++ b/crates/cuminramp-daemon/src/dispatch/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt on one target.
+//! Runs one attempt of a request on one target.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -14,21 +14,22 @@
 use crate::interfaces::{TargetAnswer, TargetRequest};
 use crate::state::{DaemonState, lock};
 
-/// Tells attempts that wait for an answer that their target has fallen silent.
+/// Cancels attempts whose target has become silent.
 ///
-/// An answer that is not a stream comes at once at its end, so an attempt can't tell a slow target
-/// from a silent one; the load reports can. Without this a caller would wait until its deadline.
+/// An answer that is not a stream arrives all at once when it is finished, so an attempt can't
+/// distinguish a slow target from a silent one. Polling for load reports can, since a silent target
+/// doesn't answer the polls. Without this signal a caller would wait until its deadline.
 #[derive(Default)]
 pub(crate) struct SilenceBoard {
     tokens: Mutex<SortedMap<Name, CancellationToken>>,
 }
 
 impl SilenceBoard {
-    fn token(&self, target: &Name) -> CancellationToken {
+    fn token_for(&self, target: &Name) -> CancellationToken {
         lock(&self.tokens).get_or_insert_with(target.clone(), CancellationToken::new).clone()
     }
 
-    /// Ends the attempts that run on a target now.
+    /// Cancels the attempts that are running on a target. Later attempts get a new token.
     pub(crate) fn note_silent(&self, target: &str) {
         if let Some(token) = lock(&self.tokens).remove(target) {
             token.cancel();
@@ -36,14 +37,16 @@
     }
 }
 
-/// Holds a place on a target and gives it back when dropped, also when the caller goes away.
+/// Holds a slot on a target and releases it when dropped, also when the caller disconnects.
+///
+/// Releasing the slot of an online request wakes the next request that waits for the pool.
 pub(crate) struct TargetLease {
     state: Arc<DaemonState>,
     pub(crate) target: Target,
     pool: Name,
     kind: WorkKind,
-    /// Cancelled when the target is found to be silent.
-    pub(crate) silenced: CancellationToken,
+    /// Cancelled when the target no longer answers polls for its load report.
+    pub(crate) silence_token: CancellationToken,
 }
 
 impl TargetLease {
@@ -54,11 +57,13 @@
         kind: WorkKind,
     ) -> Self {
         lock(&state.targets).on_start(&target.name, kind, Instant::now());
-        let silenced = state.silence.token(&target.name);
-        TargetLease { state: state.clone(), target, pool: pool.clone(), kind, silenced }
+        let silence_token = state.silence.token_for(&target.name);
+        TargetLease { state: state.clone(), target, pool: pool.clone(), kind, silence_token }
     }
 
-    /// Notes how the attempt ended as far as the target is concerned.
+    /// Records the outcome of the attempt for outlier ejection.
+    ///
+    /// Connections to a silent target are dropped, since they may be dead.
     pub(crate) fn note(&self, end: AttemptEnd) {
         let ejected = lock(&self.state.targets).on_outcome(&self.target.name, end, Instant::now());
         if ejected {
@@ -79,29 +84,30 @@
     }
 }
 
-/// What became of the first part of an attempt.
+/// Result of an attempt up to the head of the answer.
 pub(crate) enum AttemptResult {
-    /// The head of an answer that may be passed on.
+    /// The target answered; the answer can be forwarded to the caller.
     Answered(TargetAnswer),
-    /// A failure to decide on.
+    /// The attempt failed; the retry policy decides what follows.
     Failed(AttemptFailure),
 }
 
-/// Sends the request and waits for the head of its answer, no longer than `wait` and `deadline`.
+/// Sends a request and waits for the head of its answer until `timeout` has passed or `deadline` is
+/// reached, whichever comes first.
 pub(crate) async fn start_attempt(
     state: &DaemonState,
     lease: &TargetLease,
     request: TargetRequest,
-    wait: Duration,
+    timeout: Duration,
     deadline: Instant,
 ) -> AttemptResult {
     let started = Instant::now();
-    let left = deadline.saturating_duration_since(started);
-    let called = tokio::select! {
-        called = state.caller.call(&lease.target.address, request, wait.min(left)) => called,
-        () = lease.silenced.cancelled() => Err(CallError::Silent("no load report".into())),
+    let remaining = deadline.saturating_duration_since(started);
+    let outcome = tokio::select! {
+        outcome = state.caller.call(&lease.target.address, request, timeout.min(remaining)) => outcome,
+        () = lease.silence_token.cancelled() => Err(CallError::Silent("no load report".into())),
     };
-    match called {
+    match outcome {
         Ok(answer) => {
             let result = classify_answer(answer);
             match &result {
@@ -111,22 +117,22 @@
             result
         }
         Err(error) => {
-            // A request whose own deadline came first says nothing about the target.
-            let cut_short = left < wait && !lease.silenced.is_cancelled();
+            // If the request's own deadline came first, nothing is known about the target's health.
+            let deadline_first = remaining < timeout && !lease.silence_token.is_cancelled();
             lease.note(match error {
-                CallError::Silent(_) if cut_short => AttemptEnd::Abandoned,
+                CallError::Silent(_) if deadline_first => AttemptEnd::Abandoned,
                 CallError::Silent(_) => AttemptEnd::Silent,
                 _ => AttemptEnd::Failed,
             });
             let reason = error.to_string();
             log::info!(target_name = &*lease.target.name, reason = reason.as_str(); "attempt-failed");
-            AttemptResult::Failed(failure_of(&error))
+            AttemptResult::Failed(failure_from_error(&error))
         }
     }
 }
 
-/// How far an attempt had come that ended with this error before the head of an answer.
-fn failure_of(error: &CallError) -> AttemptFailure {
+/// Returns the failure for an error that occurred before the head of an answer arrived.
+fn failure_from_error(error: &CallError) -> AttemptFailure {
     match error {
         CallError::NotSent(_) => AttemptFailure { stage: FailureStage::NotSent, is_crash: false },
         CallError::Broken(_) => AttemptFailure { stage: FailureStage::Sent, is_crash: true },
@@ -134,8 +140,10 @@
     }
 }
 
-/// Tells answers from failures: 429 and 503 say that the target did not begin, other 5xx that it
-/// failed; everything else is the caller's answer.
+/// Classifies an answer by its status.
+///
+/// With 429 and 503 the target reports that it did not start the request, with any other 5xx that it
+/// failed. Every other status is the caller's answer.
 fn classify_answer(answer: TargetAnswer) -> AttemptResult {
     let stage = match answer.status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => FailureStage::Refused,
--- a/crates/cuminramp-daemon/src/dispatch/events.rs
+++ b/crates/cuminramp-daemon/src/dispatch/events.rs
@@ -1,40 +1,43 @@
-//! Cuts a stream of bytes into server-sent events.
+//! Splits a byte stream into server-sent events.
 
 use bytes::{Bytes, BytesMut};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 
-/// The data of the event that ends a stream.
-const DONE: &[u8] = b"[DONE]";
-/// What stands before an event's data.
+/// Data of the event that ends a stream.
+const DONE_DATA: &[u8] = b"[DONE]";
+/// Prefix of an event's data line.
 const DATA_PREFIX: &[u8] = b"data:";
-/// The longest event that is waited for.
-const MOST_EVENT_BYTES: usize = 1 << 20;
+/// Maximum number of bytes that are buffered; a target that never ends its event would otherwise use up
+/// the host's memory.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole event.
+/// A complete server-sent event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct StreamEvent {
-    /// Its bytes, with the empty line that ends it.
+    /// Bytes of the event, including the empty line that ends it.
     pub(crate) bytes: Bytes,
-    /// What it is.
+    /// Role of the event in the stream.
     pub(crate) kind: EventKind,
 }
 
-/// What matters of an event.
+/// Role of an event in a stream of completion chunks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum EventKind {
-    /// A token of the answer.
+    /// A chunk that carries a token: at least one of its choices has no finish reason.
     Token,
-    /// Anything else that belongs to the answer.
+    /// Any other part of the answer, such as a comment or the chunk with the finish reason.
     Other,
-    /// The end: the answer is whole.
+    /// The `[DONE]` event: the answer is complete.
     Done,
 }
 
-/// Gathers bytes until events are whole, so that a caller never gets half of one from a target that
-/// breaks off and the other half from the target that goes on.
+/// Buffers bytes until events are complete.
+///
+/// If bytes were forwarded as they arrive, a caller could receive the first half of an event from a target
+/// that fails and the second half from the target that resumes the stream.
 #[derive(Debug, Default)]
-pub(crate) struct EventCutter {
+pub(crate) struct EventParser {
     buffer: BytesMut,
 }
 
@@ -50,28 +53,28 @@
     finish_reason: Option<IgnoredAny>,
 }
 
-impl EventCutter {
-    /// Adds bytes; says `false` where an event has grown too large.
+impl EventParser {
+    /// Appends bytes. Returns `false` if more than [`MAX_EVENT_BYTES`] are then buffered.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
-        self.buffer.len() <= MOST_EVENT_BYTES
+        self.buffer.len() <= MAX_EVENT_BYTES
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next complete event.
     pub(crate) fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.buffer.windows(2).position(|pair| pair == b"\n\n")? + 2;
         let bytes = self.buffer.split_to(end).freeze();
-        let kind = kind_of(&bytes);
+        let kind = classify_event(&bytes);
         Some(StreamEvent { bytes, kind })
     }
 }
 
-fn kind_of(event: &[u8]) -> EventKind {
+fn classify_event(event: &[u8]) -> EventKind {
     let Some(data) = event.strip_prefix(DATA_PREFIX) else {
         return EventKind::Other;
     };
     let data = data.trim_ascii();
-    if data == DONE {
+    if data == DONE_DATA {
         return EventKind::Done;
     }
     match serde_json::from_slice::<ChunkBody>(data) {
--- a/crates/cuminramp-daemon/src/dispatch/events/tests.rs
+++ b/crates/cuminramp-daemon/src/dispatch/events/tests.rs
@@ -1,9 +1,9 @@
-use super::{EventCutter, EventKind};
+use super::{EventKind, EventParser};
 
-// A target's bytes arrive cut anywhere. Passed on as they come, a stream that breaks off and is
-// resumed would join two halves of different events.
+// A target's bytes can be split anywhere between two reads. If they were forwarded as they arrive, a stream
+// that is interrupted and resumed would join halves of two different events.
 #[test]
-fn events_come_out_whole_wherever_the_bytes_are_cut() {
+fn events_are_complete_wherever_the_bytes_are_split() {
     let text = concat!(
         "data: {\"choices\":[{\"delta\":{\"content\":\"a\"},\"finish_reason\":null}]}\n\n",
         ": comment\n\n",
@@ -11,13 +11,13 @@
         "data: [DONE]\n\n",
     );
     for size in 1..text.len() {
-        let mut cutter = EventCutter::default();
+        let mut parser = EventParser::default();
         let mut kinds = Vec::new();
         let mut joined = Vec::new();
 
         for part in text.as_bytes().chunks(size) {
-            assert!(cutter.push(part));
-            while let Some(event) = cutter.next_event() {
+            assert!(parser.push(part));
+            while let Some(event) = parser.next_event() {
                 kinds.push(event.kind);
                 joined.extend_from_slice(&event.bytes);
             }
--- a/crates/cuminramp-daemon/src/dispatch/online.rs
+++ b/crates/cuminramp-daemon/src/dispatch/online.rs
@@ -1,4 +1,4 @@
-//! An online request: attempts until there is an answer or it makes no more sense.
+//! Runs an online request: makes attempts until a target answers or the request can't be retried.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,13 +19,15 @@
 use tokio::time::Instant;
 
 use crate::dispatch::attempt::{AttemptResult, TargetLease, start_attempt};
-use crate::dispatch::queue::wait_turn;
-use crate::dispatch::relay::{BodyError, RelayJob, read_whole, relay_stream, withdrawn_refusal};
+use crate::dispatch::queue::wait_for_turn;
+use crate::dispatch::relay::{
+    ActiveRequest, BodyError, key_withdrawn_refusal, read_full_body, relay_stream,
+};
 use crate::dispatch::target_specs;
 use crate::interfaces::{TargetAnswer, TargetRequest};
 use crate::state::{DaemonState, lock};
 
-/// A request that was admitted and has its route.
+/// An admitted request with its route and pool.
 pub(crate) struct OnlineRequest {
     pub(crate) id: Name,
     pub(crate) team: Team,
@@ -33,19 +35,23 @@
     pub(crate) route: Route,
     pub(crate) pool: Pool,
     pub(crate) request: TargetRequest,
-    /// A hash of the prompt's beginning, for engines.
+    /// Hash of the beginning of the prompt, for engines that cache prefixes.
     pub(crate) prefix: Option<u64>,
-    /// Tells apart what targets work on, however it is asked for and whoever asks: a request that
-    /// crashes targets does so streamed or whole.
+    /// Hash of the work that a target does for the request, by which crashes are counted.
+    ///
+    /// It doesn't depend on the caller or on whether the answer is streamed: a poison request crashes
+    /// targets either way.
     pub(crate) fingerprint: u64,
     pub(crate) is_stream: bool,
     pub(crate) deadline: Instant,
 }
 
 impl OnlineRequest {
-    /// How long the head of an answer may take: that of a stream comes before its first token, any
-    /// other comes when all is done.
-    fn first_byte_wait(&self, state: &DaemonState) -> Duration {
+    /// Returns the time within which the head of an answer must arrive.
+    ///
+    /// The head of a stream arrives before its first token. Any other head arrives only when the whole
+    /// answer is finished, so it gets the timeout of the route.
+    fn first_byte_timeout(&self, state: &DaemonState) -> Duration {
         if self.is_stream {
             state.settings.targets.first_byte_timeout()
         } else {
@@ -53,6 +59,7 @@
         }
     }
 
+    /// Returns the properties that the retry policy depends on.
     pub(crate) fn traits(&self, state: &DaemonState, earlier: Execution) -> RequestTraits {
         let engines = self.pool.kind == PoolKind::Engines;
         RequestTraits {
@@ -65,33 +72,37 @@
     }
 }
 
-/// Takes part in the bookkeeping of crashes while a request runs.
-pub(crate) struct CrashWatch {
+/// Tracks a running request in the crash table; dropping it records that the run has ended.
+pub(crate) struct CrashTracker {
     state: Arc<DaemonState>,
     fingerprint: u64,
 }
 
-impl CrashWatch {
-    /// Begins, unless the request has crashed too many targets or is a suspect that runs elsewhere.
+impl CrashTracker {
+    /// Starts tracking a request.
+    ///
+    /// Refuses a request that has crashed too many targets, and one that has crashed a target and is
+    /// already running.
     fn begin(state: &Arc<DaemonState>, fingerprint: u64) -> Result<Self, Refusal> {
         let now = Instant::now();
         if lock(&state.crashes).begin(fingerprint, now) {
-            return Ok(CrashWatch { state: state.clone(), fingerprint });
+            return Ok(CrashTracker { state: state.clone(), fingerprint });
         }
         let crashes = lock(&state.crashes).crashes(fingerprint);
         if crashes < state.settings.retries.quarantine_after {
-            let message = "the same request crashed a target and is being tried alone";
+            let message =
+                "the same request crashed a target and is already running; only one runs at a time";
             let refusal = Refusal::not_run(ResultCode::TargetsUnavailable, message);
             return Err(refusal.with_retry_after(Duration::from_secs(1)));
         }
         log::info!(fingerprint = fingerprint, decision = "quarantined"; "crash");
-        let message =
-            "this request crashed the targets that ran it and is not run again for a while";
+        let message = "this request crashed the targets that ran it and is quarantined for a while";
         Err(Refusal::not_run(ResultCode::RequestQuarantined, message))
     }
 
-    /// The target died under the request: remembers it here and tells other hosts.
-    pub(crate) fn note_crash(&self) {
+    /// Records that the target crashed while it ran the request, and reports the crash count to other
+    /// hosts.
+    pub(crate) fn record_crash(&self) {
         let crashes = lock(&self.state.crashes).on_crash(self.fingerprint, Instant::now());
         log::info!(fingerprint = self.fingerprint, crashes = crashes; "crash");
         let report =
@@ -103,118 +114,129 @@
         }
     }
 
-    /// The request ran to its end.
-    pub(crate) fn note_success(&self) {
+    /// Records that the request ran to completion, which clears its crash count.
+    pub(crate) fn record_success(&self) {
         lock(&self.state.crashes).on_success(self.fingerprint);
     }
 
-    /// Targets to keep away from: for a suspect, those on which other suspects run.
-    fn shunned_targets(&self) -> Vec<Name> {
+    /// Returns the targets that the request must not run on.
+    ///
+    /// For a request that has crashed a target, they are the targets on which other such requests run. If
+    /// two of them ran on one target and it crashed, the crash would be counted against the harmless one
+    /// too.
+    fn excluded_targets(&self) -> Vec<Name> {
         let crashes = lock(&self.state.crashes);
         if crashes.crashes(self.fingerprint) > 0 { crashes.suspect_targets() } else { Vec::new() }
     }
 
-    /// The request goes to this target.
-    fn place(&self, target: &Name) {
+    /// Records the target that the request is sent to.
+    fn record_target(&self, target: &Name) {
         lock(&self.state.crashes).place(self.fingerprint, target);
     }
 
-    /// After a crash: whether another attempt may begin.
-    pub(crate) fn begin_again(&self) -> bool {
+    /// Returns whether another attempt may start after a crash, and if so counts it as running.
+    pub(crate) fn begin_retry(&self) -> bool {
         let mut crashes = lock(&self.state.crashes);
         crashes.end(self.fingerprint);
         crashes.begin(self.fingerprint, Instant::now())
     }
 }
 
-impl Drop for CrashWatch {
+impl Drop for CrashTracker {
     fn drop(&mut self) {
         lock(&self.state.crashes).end(self.fingerprint);
     }
 }
 
-/// Runs a request to its answer; a stream is answered once its head is there.
+/// Runs a request and returns the response to its caller: for a stream as soon as the head of the answer
+/// has arrived, otherwise when the answer is complete.
 pub(crate) async fn dispatch_online(
     state: &Arc<DaemonState>,
     online: OnlineRequest,
 ) -> Result<Response, Refusal> {
-    let watch = CrashWatch::begin(state, online.fingerprint)?;
+    let crash_tracker = CrashTracker::begin(state, online.fingerprint)?;
     lock(&state.budget).earn();
     let started = Instant::now();
-    let mut job = RelayJob::new(online, watch);
+    let mut active = ActiveRequest::new(online, crash_tracker);
     loop {
-        let (lease, answer) = next_answer(state, &mut job).await?;
+        let (lease, answer) = next_answer(state, &mut active).await?;
         state.metrics.note_first_byte(started.elapsed().as_secs_f64());
-        if job.online.is_stream && is_event_stream(&answer.headers) {
-            return Ok(relay_stream(state.clone(), job, lease, answer));
+        if active.online.is_stream && is_event_stream(&answer.headers) {
+            return Ok(relay_stream(state.clone(), active, lease, answer));
         }
-        let (status, headers) = (answer.status, kept_headers(&answer.headers));
-        match read_whole(state, &job, &lease, answer).await {
+        let (status, headers) = (answer.status, end_to_end_headers(&answer.headers));
+        match read_full_body(state, &active, &lease, answer).await {
             Ok(body) => {
-                job.watch.note_success();
+                active.crash_tracker.record_success();
                 let mut response = Response::new(Body::from(body));
                 *response.status_mut() = status;
                 *response.headers_mut() = headers;
                 return Ok(response);
             }
-            Err(BodyError::Withdrawn) => return Err(withdrawn_refusal()),
+            Err(BodyError::KeyWithdrawn) => return Err(key_withdrawn_refusal()),
             Err(BodyError::Failed(failure)) => {
                 drop(lease);
-                decide_next(state, &mut job, failure)?;
+                handle_failure(state, &mut active, failure)?;
             }
         }
     }
 }
 
-/// Attempts until the head of an answer is there, or the request is given up.
+/// Makes attempts until the head of an answer arrives or the retry policy gives up.
 pub(crate) async fn next_answer(
     state: &Arc<DaemonState>,
-    job: &mut RelayJob,
+    active: &mut ActiveRequest,
 ) -> Result<(TargetLease, TargetAnswer), Refusal> {
     loop {
-        job.attempt += 1;
-        let earlier = job.earlier;
-        let lease = find_target(state, job).await.map_err(|refusal| {
-            let execution = refusal.execution.max(earlier);
+        active.attempt += 1;
+        let earlier_execution = active.earlier_execution;
+        let lease = acquire_target(state, active).await.map_err(|refusal| {
+            let execution = refusal.execution.max(earlier_execution);
             refusal.with_execution(execution)
         })?;
-        let request = job.next_request(state);
-        let wait = job.online.first_byte_wait(state);
-        match start_attempt(state, &lease, request, wait, job.online.deadline).await {
+        let request = active.next_request(state);
+        let timeout = active.online.first_byte_timeout(state);
+        match start_attempt(state, &lease, request, timeout, active.online.deadline).await {
             AttemptResult::Answered(answer) => return Ok((lease, answer)),
             AttemptResult::Failed(failure) => {
                 drop(lease);
-                decide_next(state, job, failure)?;
+                handle_failure(state, active, failure)?;
             }
         }
     }
 }
 
-/// Decides what follows a failure: returns where another attempt follows.
-pub(crate) fn decide_next(
+/// Applies the retry policy to a failed attempt. Returns `Ok` if another attempt follows, otherwise the
+/// refusal for the caller.
+pub(crate) fn handle_failure(
     state: &DaemonState,
-    job: &mut RelayJob,
+    active: &mut ActiveRequest,
     failure: AttemptFailure,
 ) -> Result<(), Refusal> {
     if failure.is_crash {
-        job.watch.note_crash();
+        active.crash_tracker.record_crash();
     }
-    let traits = job.online.traits(state, job.earlier);
-    let failure = job.with_progress(failure);
-    job.earlier = job.earlier.max(execution_after(failure.stage));
+    let traits = active.online.traits(state, active.earlier_execution);
+    let failure = active.with_progress(failure);
+    active.earlier_execution = active.earlier_execution.max(execution_after(failure.stage));
     let now = Instant::now();
-    let decision = decide_retry(&traits, failure, job.attempt, now, || lock(&state.budget).spend());
-    let word = match decision {
+    let decision =
+        decide_retry(&traits, failure, active.attempt, now, || lock(&state.budget).spend());
+    let decision_name = match decision {
         RetryDecision::Resend => "resend",
         RetryDecision::Resume { .. } => "resume",
         RetryDecision::GiveUp { .. } => "give-up",
     };
     let stage = format!("{:?}", failure.stage);
-    log::info!(request = &*job.online.id, attempt = job.attempt, stage = stage.as_str(), decision = word; "retry");
+    log::info!(
+        request = &*active.online.id, attempt = active.attempt, stage = stage.as_str(),
+        decision = decision_name;
+        "retry"
+    );
     if let RetryDecision::GiveUp { code, execution } = decision {
-        return Err(give_up(state, code, execution));
+        return Err(give_up_refusal(state, code, execution));
     }
-    if failure.is_crash && !job.watch.begin_again() {
+    if failure.is_crash && !active.crash_tracker.begin_retry() {
         let message = "this request crashed the targets that ran it";
         return Err(Refusal::not_run(ResultCode::RequestQuarantined, message)
             .with_execution(Execution::Ran));
@@ -223,11 +245,12 @@
     Ok(())
 }
 
-fn give_up(state: &DaemonState, code: ResultCode, execution: Execution) -> Refusal {
+/// Returns the refusal for a request that is not retried any more.
+fn give_up_refusal(state: &DaemonState, code: ResultCode, execution: Execution) -> Refusal {
     let message = match execution {
-        Execution::NotRun => "no target took the request",
-        Execution::MayHaveRun => "the target was given the request and did not answer",
-        Execution::Ran => "the target failed while it ran the request",
+        Execution::NotRun => "no target accepted the request",
+        Execution::MayHaveRun => "the request was sent to a target, which did not answer",
+        Execution::Ran => "the target failed while running the request",
     };
     let refusal = Refusal::not_run(code, message).with_execution(execution);
     match execution {
@@ -236,9 +259,12 @@
     }
 }
 
-/// Waits for a target with room and takes a place on it.
-async fn find_target(state: &Arc<DaemonState>, job: &mut RelayJob) -> Result<TargetLease, Refusal> {
-    let online = &job.online;
+/// Waits until a target has a free slot and acquires it.
+async fn acquire_target(
+    state: &Arc<DaemonState>,
+    active: &mut ActiveRequest,
+) -> Result<TargetLease, Refusal> {
+    let online = &active.online;
     let specs = target_specs(&online.pool);
     if !lock(&state.targets).has_targets(&specs) {
         return Err(Refusal::not_run(ResultCode::TargetsUnavailable, "the pool has no targets")
@@ -247,43 +273,46 @@
     let deadline = online.deadline.min(Instant::now() + state.settings.targets.queue_timeout());
     let mut waited = !state.queues.is_empty(&online.pool.name);
     if waited {
-        wait_turn(state, &online.pool.name, &online.team.name, online.team.weight, deadline)
+        wait_for_turn(state, &online.pool.name, &online.team.name, online.team.weight, deadline)
             .await?;
     }
     loop {
-        let mut tried = job.tried.clone();
-        tried.extend(job.watch.shunned_targets());
-        if let Some(choice) = choose_target(state, online, &specs, &tried) {
+        let mut excluded = active.tried.clone();
+        excluded.extend(active.crash_tracker.excluded_targets());
+        if let Some(choice) = choose_target(state, online, &specs, &excluded) {
             let target = online.pool.targets[choice.index].clone();
             log::info!(
                 request = &*online.id, team = &*online.team.name, route = &*online.route.name,
-                pool = &*online.pool.name, target_name = &*target.name, attempt = job.attempt,
+                pool = &*online.pool.name, target_name = &*target.name, attempt = active.attempt,
                 reason = choice.reason.as_str(), waited = waited;
                 "route"
             );
             if online.pool.kind == PoolKind::Engines {
                 state.batch.announce_online(state, &target.name);
             }
-            job.watch.place(&target.name);
-            job.tried.push(target.name.clone());
+            active.crash_tracker.record_target(&target.name);
+            active.tried.push(target.name.clone());
             return Ok(TargetLease::new(state, &online.pool.name, target, WorkKind::Online));
         }
         waited = true;
-        wait_turn(state, &online.pool.name, &online.team.name, online.team.weight, deadline)
+        wait_for_turn(state, &online.pool.name, &online.team.name, online.team.weight, deadline)
             .await?;
     }
 }
 
-/// The headers of a target's answer without those that belong to its connection.
-fn kept_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = headers.clone();
+/// Returns the headers of a target's answer without those that apply to its connection only.
+fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = headers.clone();
     for name in [CONNECTION, CONTENT_LENGTH, TE, TRAILER, TRANSFER_ENCODING, UPGRADE] {
-        kept.remove(name);
+        forwarded.remove(name);
     }
-    kept
+    forwarded
 }
 
-/// Chooses among the targets that online work keeps to, and among all where none of those has room.
+/// Chooses a target among those preferred for online work, or among all targets if no preferred one has a
+/// free slot.
+///
+/// While batch jobs are open, online work is concentrated on a part of the engines.
 fn choose_target(
     state: &DaemonState,
     online: &OnlineRequest,
@@ -292,19 +321,19 @@
 ) -> Option<TargetChoice> {
     let now = Instant::now();
     let query = ChoiceQuery { prefix: online.prefix, tried };
-    let packed = match online.pool.kind {
+    let preferred = match online.pool.kind {
         PoolKind::Engines => state.batch.pack_online(state, &online.pool.name, specs),
         PoolKind::Services => None,
     };
     let mut random = lock(&state.random);
     let targets = lock(&state.targets);
-    let placed = packed.and_then(|packed| {
-        let choice = targets.choose(&packed, query, random.as_mut(), now)?;
-        let name = &packed[choice.index].name;
+    let preferred_choice = preferred.and_then(|preferred| {
+        let choice = targets.choose(&preferred, query, random.as_mut(), now)?;
+        let name = &preferred[choice.index].name;
         let index = specs.iter().position(|spec| spec.name == *name)?;
         Some(TargetChoice { index, ..choice })
     });
-    placed.or_else(|| targets.choose(specs, query, random.as_mut(), now))
+    preferred_choice.or_else(|| targets.choose(specs, query, random.as_mut(), now))
 }
 
 fn is_event_stream(headers: &HeaderMap) -> bool {
@@ -312,21 +341,23 @@
     value.is_some_and(|value| value.starts_with("text/event-stream"))
 }
 
-/// The request for the next attempt, which goes on after what the caller has.
+/// Returns the request for the next attempt. If tokens were forwarded, a header asks the engine to resume
+/// the answer after them.
 pub(crate) fn resumed_request(
     state: &DaemonState,
     request: &TargetRequest,
-    tokens: usize,
+    delivered_tokens: usize,
 ) -> TargetRequest {
     let mut request = request.clone();
     let name = HeaderName::try_from(state.settings.targets.resume_header.as_str());
-    if let (Ok(name), true) = (name, tokens > 0) {
-        request.headers.insert(name, tokens.into());
+    if let (Ok(name), true) = (name, delivered_tokens > 0) {
+        request.headers.insert(name, delivered_tokens.into());
     }
     request
 }
 
-/// A failure in the middle of an answer of which the caller has `tokens` tokens.
-pub(crate) fn partial_failure(tokens: usize, is_crash: bool) -> AttemptFailure {
-    AttemptFailure { stage: FailureStage::Partial { events: tokens }, is_crash }
+/// Returns the failure of an answer that ended after `delivered_tokens` tokens were forwarded to the
+/// caller.
+pub(crate) fn partial_failure(delivered_tokens: usize, is_crash: bool) -> AttemptFailure {
+    AttemptFailure { stage: FailureStage::Partial { events: delivered_tokens }, is_crash }
 }
--- a/crates/cuminramp-daemon/src/dispatch/queue.rs
+++ b/crates/cuminramp-daemon/src/dispatch/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a target with room, served team by team.
+//! Queues of requests that wait for a target with a free slot, shared fairly between teams.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -10,26 +10,28 @@
 
 use crate::state::{DaemonState, lock};
 
-/// How often waiting requests are looked at when nothing wakes them, since reports age meanwhile.
-const PUMP_PAUSE: Duration = Duration::from_millis(20);
+/// Interval at which the next waiting request of each pool is woken even if no slot was released on this
+/// host, since the load estimated from reports decays with their age.
+const WAKE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The queues of all pools.
+/// Queues of waiting requests, one per pool.
 #[derive(Default)]
 pub(crate) struct PoolQueues {
     queues: Mutex<SortedMap<Name, FairQueue<oneshot::Sender<()>>>>,
 }
 
 impl PoolQueues {
+    /// Adds a waiting request. Returns `None` if `max_waiting` requests already wait for the pool.
     fn push(
         &self,
         pool: &Name,
         team: &Name,
         weight: u32,
-        most: usize,
+        max_waiting: usize,
     ) -> Option<oneshot::Receiver<()>> {
         let mut queues = lock(&self.queues);
         let queue = queues.get_or_insert_with(pool.clone(), FairQueue::new);
-        if queue.len() >= most {
+        if queue.len() >= max_waiting {
             return None;
         }
         let (sender, receiver) = oneshot::channel();
@@ -37,12 +39,13 @@
         Some(receiver)
     }
 
-    /// Whether nobody of the pool waits.
+    /// Returns whether no request waits for the pool.
     pub(crate) fn is_empty(&self, pool: &str) -> bool {
         lock(&self.queues).get(pool).is_none_or(FairQueue::is_empty)
     }
 
-    /// Lets the next request of the pool try; those whose callers went away are passed over.
+    /// Wakes the next request that waits for the pool. Requests whose callers have disconnected are
+    /// skipped.
     pub(crate) fn wake_next(&self, pool: &str) {
         let mut queues = lock(&self.queues);
         let Some(queue) = queues.get_mut(pool) else {
@@ -55,6 +58,7 @@
         }
     }
 
+    /// Returns the pools for which requests wait.
     fn waiting_pools(&self) -> Vec<Name> {
         let queues = lock(&self.queues);
         let waiting = queues.iter().filter(|(_, queue)| !queue.is_empty());
@@ -62,34 +66,36 @@
     }
 }
 
-/// Waits for a turn at a pool, at most until `deadline`.
-pub(crate) async fn wait_turn(
+/// Waits for a turn to choose a target of the pool, until `deadline` at the latest.
+pub(crate) async fn wait_for_turn(
     state: &DaemonState,
     pool: &Name,
     team: &Name,
     weight: u32,
     deadline: Instant,
 ) -> Result<(), Refusal> {
-    let most = state.settings.targets.queue_length;
-    let Some(turn) = state.queues.push(pool, team, weight, most) else {
-        let refusal =
-            Refusal::not_run(ResultCode::QueueFull, "too many requests wait for this pool");
+    let max_waiting = state.settings.targets.queue_length;
+    let Some(turn) = state.queues.push(pool, team, weight, max_waiting) else {
+        let refusal = Refusal::not_run(ResultCode::QueueFull, "the queue of this pool is full");
         return Err(refusal.with_retry_after(Duration::from_secs(1)));
     };
     match tokio::time::timeout_at(deadline, turn).await {
         Ok(Ok(())) => Ok(()),
         _ => {
-            let message = "no target of the pool had room in time";
+            let message = "no target of the pool had a free slot in time";
             let refusal = Refusal::not_run(ResultCode::TargetsUnavailable, message);
             Err(refusal.with_retry_after(Duration::from_secs(1)))
         }
     }
 }
 
-/// Wakes waiting requests now and then: room also comes when reports age or targets come back.
+/// Wakes the next waiting request of each pool every [`WAKE_INTERVAL`].
+///
+/// Slots also become free without a release on this host: when the load estimated from reports decays with
+/// their age, and when ejected targets are reinstated.
 pub(crate) async fn pump_queues(state: Arc<DaemonState>) {
     loop {
-        tokio::time::sleep(PUMP_PAUSE).await;
+        tokio::time::sleep(WAKE_INTERVAL).await;
         for pool in state.queues.waiting_pools() {
             state.queues.wake_next(&pool);
         }
--- a/crates/cuminramp-daemon/src/dispatch/relay.rs
+++ b/crates/cuminramp-daemon/src/dispatch/relay.rs
@@ -1,4 +1,4 @@
-//! Passes an answer on to the caller.
+//! Relays the answer of a target to the caller.
 
 use std::sync::Arc;
 
@@ -14,85 +14,92 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use crate::dispatch::attempt::TargetLease;
-use crate::dispatch::events::{EventCutter, EventKind, StreamEvent};
+use crate::dispatch::events::{EventKind, EventParser, StreamEvent};
 use crate::dispatch::online::{
-    CrashWatch, OnlineRequest, decide_next, next_answer, partial_failure, resumed_request,
+    CrashTracker, OnlineRequest, handle_failure, next_answer, partial_failure, resumed_request,
 };
 use crate::entry::error_body;
 use crate::interfaces::{TargetAnswer, TargetRequest};
 use crate::state::DaemonState;
 
-/// Events that wait for a slow caller before the target's stream is read on.
-const EVENTS_AHEAD: usize = 64;
+/// Maximum number of events that are buffered for a slow caller. While the buffer is full, the target's
+/// stream is not read.
+const MAX_BUFFERED_EVENTS: usize = 64;
 
-/// A request on its way, over all of its attempts.
-pub(crate) struct RelayJob {
+/// State of an online request over all of its attempts.
+pub(crate) struct ActiveRequest {
     pub(crate) online: OnlineRequest,
-    pub(crate) watch: CrashWatch,
+    pub(crate) crash_tracker: CrashTracker,
+    /// Number of attempts started.
     pub(crate) attempt: u32,
+    /// Targets of earlier attempts.
     pub(crate) tried: Vec<Name>,
-    /// What the attempts so far left.
-    pub(crate) earlier: Execution,
-    /// Tokens that the caller has.
-    tokens: usize,
+    /// Highest execution state of the attempts so far: not run, may have run, or ran.
+    pub(crate) earlier_execution: Execution,
+    /// Number of tokens that were forwarded to the caller.
+    delivered_tokens: usize,
 }
 
-impl RelayJob {
-    pub(crate) fn new(online: OnlineRequest, watch: CrashWatch) -> Self {
-        RelayJob {
+impl ActiveRequest {
+    pub(crate) fn new(online: OnlineRequest, crash_tracker: CrashTracker) -> Self {
+        ActiveRequest {
             online,
-            watch,
+            crash_tracker,
             attempt: 0,
             tried: Vec::new(),
-            earlier: Execution::NotRun,
-            tokens: 0,
+            earlier_execution: Execution::NotRun,
+            delivered_tokens: 0,
         }
     }
 
+    /// Returns the request for the next attempt.
     pub(crate) fn next_request(&self, state: &DaemonState) -> TargetRequest {
-        resumed_request(state, &self.online.request, self.tokens)
+        resumed_request(state, &self.online.request, self.delivered_tokens)
     }
 
-    /// A failure as the caller sees it: once it has tokens, nothing may be sent from the start.
+    /// Returns the failure with the stage that the caller sees.
+    ///
+    /// After the first forwarded token the answer must not start over, so every failure becomes a partial
+    /// one.
     pub(crate) fn with_progress(&self, failure: AttemptFailure) -> AttemptFailure {
-        if self.tokens == 0 {
+        if self.delivered_tokens == 0 {
             return failure;
         }
-        AttemptFailure { stage: FailureStage::Partial { events: self.tokens }, ..failure }
+        AttemptFailure { stage: FailureStage::Partial { events: self.delivered_tokens }, ..failure }
     }
 }
 
-/// Why an answer could not be read whole.
+/// Reason why an answer could not be read completely.
 pub(crate) enum BodyError {
-    /// The target broke off.
+    /// The target failed or became silent, or its answer is larger than allowed.
     Failed(AttemptFailure),
     /// The caller's key was withdrawn.
-    Withdrawn,
+    KeyWithdrawn,
 }
 
-/// Reads an answer that is not a stream of events.
-pub(crate) async fn read_whole(
+/// Reads the complete body of an answer that is not a stream of events.
+pub(crate) async fn read_full_body(
     state: &DaemonState,
-    job: &RelayJob,
+    active: &ActiveRequest,
     lease: &TargetLease,
     mut answer: TargetAnswer,
 ) -> Result<Bytes, BodyError> {
-    let mut whole = BytesMut::new();
-    let withdrawn = key_withdrawn(state, job.online.key);
-    tokio::pin!(withdrawn);
+    let mut collected = BytesMut::new();
+    let withdrawal = wait_for_key_withdrawal(state, active.online.key);
+    tokio::pin!(withdrawal);
     loop {
-        let limit = progress_limit(state, job);
+        let deadline = progress_deadline(state, active);
         let part = tokio::select! {
-            part = tokio::time::timeout_at(limit, answer.body.next()) => part,
-            () = lease.silenced.cancelled() => return Err(BodyError::Failed(partial_failure(0, false))),
-            () = &mut withdrawn => return Err(BodyError::Withdrawn),
+            part = tokio::time::timeout_at(deadline, answer.body.next()) => part,
+            () = lease.silence_token.cancelled() => return Err(BodyError::Failed(partial_failure(0, false))),
+            () = &mut withdrawal => return Err(BodyError::KeyWithdrawn),
         };
         match part {
-            Ok(None) => return Ok(whole.freeze()),
+            Ok(None) => return Ok(collected.freeze()),
             Ok(Some(Ok(bytes)))
-                if whole.len() + bytes.len() <= state.settings.limits.max_answer_bytes =>
+                if collected.len() + bytes.len() <= state.settings.limits.max_answer_bytes =>
             {
-                whole.extend_from_slice(&bytes);
+                collected.extend_from_slice(&bytes);
             }
             Ok(Some(Ok(_))) => return Err(BodyError::Failed(partial_failure(0, false))),
             Ok(Some(Err(_))) => {
@@ -107,14 +114,18 @@
     }
 }
 
-fn progress_limit(state: &DaemonState, job: &RelayJob) -> Instant {
-    let silence = Instant::now() + state.settings.targets.progress_timeout();
-    silence.min(job.online.deadline)
+/// Returns the time by which the next part of an answer must arrive: the progress timeout from now, at
+/// most the request's deadline.
+fn progress_deadline(state: &DaemonState, active: &ActiveRequest) -> Instant {
+    let idle_deadline = Instant::now() + state.settings.targets.progress_timeout();
+    idle_deadline.min(active.online.deadline)
 }
 
-/// Ends when a caller's key is in force no more. Made once for an answer: it looks the key up again only
-/// when keys change, not with each part.
-async fn key_withdrawn(state: &DaemonState, key: KeyDigest) {
+/// Completes when the caller's key is no longer in force.
+///
+/// The future is created once per answer and looks the key up only when keys change, not for each part of
+/// the answer.
+async fn wait_for_key_withdrawal(state: &DaemonState, key: KeyDigest) {
     let mut changes = state.configuration.watch();
     while state.configuration.find_key(&key).is_some() {
         if changes.changed().await.is_err() {
@@ -123,17 +134,17 @@
     }
 }
 
-/// Answers with a stream that lasts over failures of targets.
+/// Responds with a stream that continues when a target fails and another one resumes the answer.
 pub(crate) fn relay_stream(
     state: Arc<DaemonState>,
-    job: RelayJob,
+    active: ActiveRequest,
     lease: TargetLease,
     answer: TargetAnswer,
 ) -> Response {
-    let (sender, receiver) = mpsc::channel(EVENTS_AHEAD);
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_EVENTS);
     let tasks = state.tasks.clone();
     tasks.spawn(async move {
-        let mut relay = StreamRelay { state, job, sender };
+        let mut relay = StreamRelay { state, active, sender };
         relay.run(lease, answer).await;
     });
     let events = ReceiverStream::new(receiver).map(Ok::<Bytes, std::convert::Infallible>);
@@ -144,46 +155,49 @@
     response
 }
 
-/// The error for a caller whose key is withdrawn while its answer is on the way.
-pub(crate) fn withdrawn_refusal() -> Refusal {
+/// Returns the error for a caller whose key is withdrawn while its answer is being relayed.
+pub(crate) fn key_withdrawn_refusal() -> Refusal {
     let refusal = Refusal::not_run(ResultCode::KeyUnknown, "the key was withdrawn");
     refusal.with_execution(Execution::Ran)
 }
 
-/// How reading from one target ended.
+/// Outcome of relaying the stream of one target.
 enum StreamEnd {
-    /// The answer is whole.
-    Whole,
-    /// The caller went away.
-    CallerGone,
+    /// The answer is complete.
+    Complete,
+    /// The caller disconnected.
+    CallerDisconnected,
     /// The caller's key was withdrawn.
-    Withdrawn,
-    /// The target broke off.
+    KeyWithdrawn,
+    /// The target failed or became silent, or sent an event that is larger than allowed.
     Failed(AttemptFailure),
 }
 
+/// Relays one streamed answer to its caller, over all attempts of the request.
 struct StreamRelay {
     state: Arc<DaemonState>,
-    job: RelayJob,
+    active: ActiveRequest,
     sender: mpsc::Sender<Bytes>,
 }
 
 impl StreamRelay {
-    /// Passes events on until the answer is whole; a target that breaks off is replaced by another
-    /// that goes on at the same token. Where none can, the caller gets an error event and no `[DONE]`.
+    /// Forwards events until the answer is complete.
+    ///
+    /// If a target fails, another one resumes the answer at the same token. If none can, the caller
+    /// receives an error event and no `[DONE]`.
     async fn run(&mut self, lease: TargetLease, answer: TargetAnswer) {
         let (mut lease, mut answer) = (lease, answer);
         loop {
-            let end = self.pass_events(&lease, answer).await;
+            let end = self.forward_events(&lease, answer).await;
             drop(lease);
             let failure = match end {
-                StreamEnd::Whole => return self.job.watch.note_success(),
-                StreamEnd::CallerGone => return,
-                StreamEnd::Withdrawn => return self.send_error(withdrawn_refusal()).await,
+                StreamEnd::Complete => return self.active.crash_tracker.record_success(),
+                StreamEnd::CallerDisconnected => return,
+                StreamEnd::KeyWithdrawn => return self.send_error(key_withdrawn_refusal()).await,
                 StreamEnd::Failed(failure) => failure,
             };
-            let next = match decide_next(&self.state, &mut self.job, failure) {
-                Ok(()) => next_answer(&self.state, &mut self.job).await,
+            let next = match handle_failure(&self.state, &mut self.active, failure) {
+                Ok(()) => next_answer(&self.state, &mut self.active).await,
                 Err(refusal) => Err(refusal),
             };
             match next {
@@ -195,61 +209,67 @@
         }
     }
 
-    async fn pass_events(&mut self, lease: &TargetLease, mut answer: TargetAnswer) -> StreamEnd {
-        let mut cutter = EventCutter::default();
+    /// Forwards the events of one target until the stream ends.
+    async fn forward_events(&mut self, lease: &TargetLease, mut answer: TargetAnswer) -> StreamEnd {
+        let mut parser = EventParser::default();
         let state = self.state.clone();
-        let withdrawn = key_withdrawn(&state, self.job.online.key);
-        tokio::pin!(withdrawn);
+        let withdrawal = wait_for_key_withdrawal(&state, self.active.online.key);
+        tokio::pin!(withdrawal);
         loop {
-            let limit = progress_limit(&self.state, &self.job);
+            let deadline = progress_deadline(&self.state, &self.active);
             let part = tokio::select! {
-                part = tokio::time::timeout_at(limit, answer.body.next()) => part,
-                () = self.sender.closed() => return StreamEnd::CallerGone,
-                () = lease.silenced.cancelled() => {
-                    return StreamEnd::Failed(partial_failure(self.job.tokens, false));
+                part = tokio::time::timeout_at(deadline, answer.body.next()) => part,
+                () = self.sender.closed() => return StreamEnd::CallerDisconnected,
+                () = lease.silence_token.cancelled() => {
+                    return StreamEnd::Failed(partial_failure(self.active.delivered_tokens, false));
                 }
-                () = &mut withdrawn => return StreamEnd::Withdrawn,
+                () = &mut withdrawal => return StreamEnd::KeyWithdrawn,
             };
             match part {
                 Ok(Some(Ok(bytes))) => {
-                    if !cutter.push(&bytes) {
-                        return StreamEnd::Failed(partial_failure(self.job.tokens, false));
+                    if !parser.push(&bytes) {
+                        return StreamEnd::Failed(partial_failure(
+                            self.active.delivered_tokens,
+                            false,
+                        ));
                     }
                 }
                 Ok(Some(Err(_)) | None) => {
                     lease.note(AttemptEnd::Failed);
-                    return StreamEnd::Failed(partial_failure(self.job.tokens, true));
+                    return StreamEnd::Failed(partial_failure(self.active.delivered_tokens, true));
                 }
                 Err(_) => {
                     lease.note(AttemptEnd::Silent);
-                    return StreamEnd::Failed(partial_failure(self.job.tokens, false));
+                    return StreamEnd::Failed(partial_failure(self.active.delivered_tokens, false));
                 }
             }
-            while let Some(event) = cutter.next_event() {
-                if let Some(end) = self.pass_event(event).await {
+            while let Some(event) = parser.next_event() {
+                if let Some(end) = self.forward_event(event).await {
                     return end;
                 }
             }
         }
     }
 
-    async fn pass_event(&mut self, event: StreamEvent) -> Option<StreamEnd> {
+    /// Forwards one event. Returns `Some` if the stream ends with it.
+    async fn forward_event(&mut self, event: StreamEvent) -> Option<StreamEnd> {
         let kind = event.kind;
         if self.sender.send(event.bytes).await.is_err() {
-            return Some(StreamEnd::CallerGone);
+            return Some(StreamEnd::CallerDisconnected);
         }
         match kind {
-            EventKind::Token => self.job.tokens += 1,
+            EventKind::Token => self.active.delivered_tokens += 1,
             EventKind::Other => {}
-            EventKind::Done => return Some(StreamEnd::Whole),
+            EventKind::Done => return Some(StreamEnd::Complete),
         }
         None
     }
 
+    /// Sends an error event in place of the rest of the answer.
     async fn send_error(&mut self, refusal: Refusal) {
         self.state.metrics.count_refusal(refusal.code.number());
         log::info!(
-            request = &*self.job.online.id, code = refusal.code.number(),
+            request = &*self.active.online.id, code = refusal.code.number(),
             execution = refusal.execution.as_str();
             "stream-ended-early"
         );
