--- a/crates/cuminramp-daemon/src/dispatch/online.rs
+++ b/crates/cuminramp-daemon/src/dispatch/online.rs
@@ -49,7 +49,7 @@
 impl OnlineRequest {
     /// Returns the time within which the head of an answer must arrive.
     ///
-    /// The head of a stream arrives before its first token. Any other head arrives only when the whole
+    /// The head of a stream arrives before its first token. Any other head arrives only when the complete
     /// answer is finished, so it gets the timeout of the route.
     fn first_byte_timeout(&self, state: &DaemonState) -> Duration {
         if self.is_stream {
