--- a/crates/cuminramp-daemon/src/entry/body.rs
+++ b/crates/cuminramp-daemon/src/entry/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests, bounded in size and time.
+//! Reads request bodies with limits on size and time.
 
 use axum::body::Body;
 use bytes::Bytes;
@@ -7,24 +7,25 @@
 
 use crate::state::DaemonState;
 
-/// Reads a body of at most `most` bytes within the time that settings allow.
+/// Reads a body of at most `max_bytes` bytes within the body timeout of the settings.
 ///
-/// A caller that sends half a body and goes silent holds its connection no longer than that.
+/// Without the timeout a caller that stops sending in the middle of a body would hold its connection for
+/// ever.
 pub(crate) async fn read_bounded(
     state: &DaemonState,
     body: Body,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Bytes, Refusal> {
     let limit = state.settings.limits.body_timeout();
-    match tokio::time::timeout(limit, Limited::new(body, most).collect()).await {
+    match tokio::time::timeout(limit, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            let message = format!("the body is larger than {most} bytes");
+            let message = format!("the body is larger than {max_bytes} bytes");
             Err(Refusal::not_run(ResultCode::BodyTooLarge, message))
         }
         Ok(Err(error)) => Err(Refusal::not_run(ResultCode::BodyMalformed, error.to_string())),
         Err(_) => {
-            let message = format!("the body was not whole within {} ms", limit.as_millis());
+            let message = format!("the body was not complete within {} ms", limit.as_millis());
             Err(Refusal::not_run(ResultCode::BodyTimeout, message))
         }
     }
