--- a/crates/cuminramp-daemon/src/entry/answers.rs
+++ b/crates/cuminramp-daemon/src/entry/answers.rs
@@ -1,4 +1,4 @@
-//! Refusals as callers read them.
+//! Responses that carry refusals.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use crate::state::DaemonState;
 
-/// The body of a refusal, in the shape that OpenAI clients parse.
+/// Returns the body of a refusal, in the format that OpenAI clients parse.
 pub(crate) fn error_body(refusal: &Refusal) -> Value {
     json!({
         "error": {
@@ -25,7 +25,7 @@
     })
 }
 
-/// The answer that carries a refusal.
+/// Returns the response for a refusal, and counts the refusal.
 pub(crate) fn refusal_response(state: &DaemonState, refusal: &Refusal) -> Response {
     state.metrics.count_refusal(refusal.code.number());
     let status = StatusCode::from_u16(refusal.code.http_status());
@@ -35,13 +35,14 @@
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     headers.insert("cuminramp-code", refusal.code.number().into());
     headers.insert("cuminramp-execution", HeaderValue::from_static(refusal.execution.as_str()));
-    // The rest of such a body is never read, so the connection ends. A caller who does not know would
-    // send its next request on it and get no answer.
+    // The rest of the body is never read in these cases, so the connection is closed. Without the header
+    // the caller would send its next request on the connection and get no response.
     if matches!(refusal.code, ResultCode::BodyTooLarge | ResultCode::BodyTimeout) {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     if let Some(wait) = refusal.retry_after {
-        // The header counts whole seconds; a caller who can do better reads the milliseconds.
+        // `Retry-After` has whole seconds, at least 1. Callers that support `retry-after-ms` get the exact
+        // time.
         let millis = wait.as_millis() as u64;
         headers.insert(RETRY_AFTER, millis.div_ceil(1_000).max(1).into());
         headers.insert("retry-after-ms", millis.into());
@@ -49,19 +50,20 @@
     response
 }
 
-/// Turns an outcome into an answer.
-pub(crate) fn answer<R: IntoResponse>(
+/// Converts an outcome into a response.
+pub(crate) fn respond<R: IntoResponse>(
     state: &DaemonState,
     outcome: Result<R, Refusal>,
 ) -> Response {
     match outcome {
-        Ok(answer) => answer.into_response(),
+        Ok(value) => value.into_response(),
         Err(refusal) => refusal_response(state, &refusal),
     }
 }
 
-/// Answers a path or method that nobody serves.
+/// Responds to a path or method that has no handler.
 pub(crate) async fn unknown_endpoint(State(state): State<Arc<DaemonState>>) -> Response {
-    let refusal = Refusal::not_run(ResultCode::EndpointUnknown, "there is no such endpoint");
+    let refusal =
+        Refusal::not_run(ResultCode::EndpointUnknown, "no endpoint has this path and method");
     refusal_response(&state, &refusal)
 }
--- a/crates/cuminramp-daemon/src/entry/auth.rs
+++ b/crates/cuminramp-daemon/src/entry/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls.
+//! Authentication of callers.
 
 use std::sync::Arc;
 
@@ -14,16 +14,16 @@
 use crate::entry::answers::refusal_response;
 use crate::state::DaemonState;
 
-/// What stands before the key.
-const BEARER: &str = "Bearer ";
+/// Prefix of the key in the `Authorization` header.
+const BEARER_PREFIX: &str = "Bearer ";
 
-/// A caller whose key is in force.
-pub(crate) struct KnownCaller {
+/// Caller whose key is in force, with the key's team.
+pub(crate) struct AuthenticatedCaller {
     pub(crate) team: Team,
     pub(crate) key: KeyDigest,
 }
 
-impl FromRequestParts<Arc<DaemonState>> for KnownCaller {
+impl FromRequestParts<Arc<DaemonState>> for AuthenticatedCaller {
     type Rejection = Response;
 
     async fn from_request_parts(
@@ -34,21 +34,21 @@
     }
 }
 
-/// Finds the team of the key that came with a request.
+/// Authenticates a request by its key.
 ///
-/// A host that can't know which keys are in force says so, and does not run the request: the key may
-/// have been withdrawn where this host does not hear of it.
+/// A host that can't confirm which keys are in force refuses the request: the key may have been withdrawn
+/// without this host having received the withdrawal.
 pub(crate) fn authenticate(
     state: &DaemonState,
     headers: &HeaderMap,
-) -> Result<KnownCaller, Refusal> {
-    // With two keys nobody can tell whose request it is; the first might be another's.
+) -> Result<AuthenticatedCaller, Refusal> {
+    // With two keys it is ambiguous which team sent the request; the first key may belong to another team.
     if headers.get_all(AUTHORIZATION).iter().count() > 1 {
-        let message = "more than one key came";
+        let message = "the request has more than one Authorization header";
         return Err(Refusal::not_run(ResultCode::FieldInvalid, message));
     }
     let value = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
-    let Some(key) = value.and_then(|value| value.strip_prefix(BEARER)) else {
+    let Some(key) = value.and_then(|value| value.strip_prefix(BEARER_PREFIX)) else {
         let message = "send the key as Authorization: Bearer";
         return Err(Refusal::not_run(ResultCode::KeyMissing, message));
     };
@@ -59,7 +59,7 @@
         return Err(refusal.with_retry_after(std::time::Duration::from_secs(1)));
     }
     if !state.is_confirmed(Instant::now()) {
-        let message = "this host can't tell which keys are in force; use another one";
+        let message = "this host can't confirm which keys are in force; use another host";
         let refusal = Refusal::not_run(ResultCode::KeysUnconfirmed, message);
         return Err(refusal.with_retry_after(std::time::Duration::from_secs(1)));
     }
@@ -68,14 +68,16 @@
         || Refusal::not_run(ResultCode::KeyUnknown, "the key is unknown or was withdrawn");
     let grant = state.configuration.find_key(&digest).ok_or_else(unknown)?;
     let team = in_force.configuration.teams.get(&*grant.team).ok_or_else(unknown)?;
-    Ok(KnownCaller { team: team.clone(), key: digest })
+    Ok(AuthenticatedCaller { team: team.clone(), key: digest })
 }
 
-/// Refuses where this host takes no new work. Steering names other hosts at once, but callers keep
-/// answers for a while, so new requests go on being served until the host closes its listener.
-pub(crate) fn check_ready(state: &DaemonState) -> Result<(), Refusal> {
+/// Refuses requests once the host is stopping.
+///
+/// A draining host still accepts requests: steering names other hosts at once, but callers cache its
+/// answers for a while, so new requests are served until the host closes its listener.
+pub(crate) fn check_not_stopping(state: &DaemonState) -> Result<(), Refusal> {
     if state.stop.is_cancelled() {
-        let refusal = Refusal::not_run(ResultCode::HostDraining, "this host stops");
+        let refusal = Refusal::not_run(ResultCode::HostDraining, "this host is stopping");
         return Err(refusal.with_retry_after(std::time::Duration::from_secs(1)));
     }
     Ok(())
--- a/crates/cuminramp-daemon/src/entry/batches.rs
+++ b/crates/cuminramp-daemon/src/entry/batches.rs
@@ -1,4 +1,4 @@
-//! Batch jobs as callers see them.
+//! HTTP handlers for batch jobs.
 
 use std::sync::Arc;
 
@@ -11,14 +11,15 @@
 
 use crate::admission::{admit_request, request_cost};
 use crate::batch::{JobRequest, cancel_job, create_job, describe_job, list_jobs};
-use crate::entry::answers::answer;
-use crate::entry::auth::{KnownCaller, authenticate, check_ready};
+use crate::entry::answers::respond;
+use crate::entry::auth::{AuthenticatedCaller, authenticate, check_not_stopping};
 use crate::entry::body::read_bounded;
 use crate::state::DaemonState;
 
-/// The one endpoint that batch items may ask for.
+/// Only endpoint that batch items may use.
 const BATCH_ENDPOINT: &str = "/v1/chat/completions";
 
+/// Body of a request to create a job.
 #[derive(Deserialize)]
 struct CreateBody {
     input_file_id: String,
@@ -33,17 +34,17 @@
     "24h".into()
 }
 
-/// Creates a job.
+/// Handles a request to create a job.
 pub(crate) async fn create_batch(
     State(state): State<Arc<DaemonState>>,
     request: Request,
 ) -> Response {
     let outcome = accept_batch(&state, request).await;
-    answer(&state, outcome.map(Json))
+    respond(&state, outcome.map(Json))
 }
 
 async fn accept_batch(state: &Arc<DaemonState>, request: Request) -> Result<Value, Refusal> {
-    check_ready(state)?;
+    check_not_stopping(state)?;
     let (head, body) = request.into_parts();
     let caller = authenticate(state, &head.headers)?;
     let body = read_bounded(state, body, state.settings.limits.max_body_bytes).await?;
@@ -54,44 +55,44 @@
         return Err(Refusal::not_run(ResultCode::FieldInvalid, message));
     }
     admit_request(state, &caller.team, request_cost(&caller.team, None)).await?;
-    let named = head.headers.get("idempotency-key").and_then(|value| value.to_str().ok());
+    let idempotency_key = head.headers.get("idempotency-key").and_then(|value| value.to_str().ok());
     let request = JobRequest {
         team: caller.team.name.clone(),
         input_file: body.input_file_id,
         endpoint: body.endpoint,
         completion_window: body.completion_window,
         metadata: body.metadata,
-        idempotency_key: named.unwrap_or_default().to_owned(),
+        idempotency_key: idempotency_key.unwrap_or_default().to_owned(),
     };
     create_job(state, request).await
 }
 
-/// Shows a job.
+/// Handles a request for one job.
 pub(crate) async fn show_batch(
     State(state): State<Arc<DaemonState>>,
-    KnownCaller { team, .. }: KnownCaller,
+    AuthenticatedCaller { team, .. }: AuthenticatedCaller,
     Path(id): Path<String>,
 ) -> Response {
     let outcome = describe_job(&state, &team.name, &id).await;
-    answer(&state, outcome.map(Json))
+    respond(&state, outcome.map(Json))
 }
 
-/// Lists a team's jobs.
+/// Handles a request for the list of a team's jobs.
 pub(crate) async fn list_batches(
     State(state): State<Arc<DaemonState>>,
-    KnownCaller { team, .. }: KnownCaller,
+    AuthenticatedCaller { team, .. }: AuthenticatedCaller,
 ) -> Response {
     let outcome = list_jobs(&state, &team.name).await;
     let outcome = outcome.map(|jobs| json!({"object": "list", "data": jobs, "has_more": false}));
-    answer(&state, outcome.map(Json))
+    respond(&state, outcome.map(Json))
 }
 
-/// Cancels a job.
+/// Handles a request to cancel a job.
 pub(crate) async fn cancel_batch(
     State(state): State<Arc<DaemonState>>,
-    KnownCaller { team, .. }: KnownCaller,
+    AuthenticatedCaller { team, .. }: AuthenticatedCaller,
     Path(id): Path<String>,
 ) -> Response {
     let outcome = cancel_job(&state, &team.name, &id).await;
-    answer(&state, outcome.map(Json))
+    respond(&state, outcome.map(Json))
 }
--- a/crates/cuminramp-daemon/src/entry/calls.rs
+++ b/crates/cuminramp-daemon/src/entry/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services, and requests that may not be repeated.
+//! Calls to services other than engines, and requests that must not run twice.
 
 use std::sync::Arc;
 
@@ -15,30 +15,30 @@
 
 use crate::admission::{admit_request, request_cost};
 use crate::dispatch::{OnlineRequest, dispatch_online};
-use crate::entry::answers::answer;
-use crate::entry::auth::{authenticate, check_ready};
+use crate::entry::answers::respond;
+use crate::entry::auth::{authenticate, check_not_stopping};
 use crate::entry::body::read_bounded;
-use crate::entry::chat::{WorkTraits, find_route, kept_answer, make_online};
+use crate::entry::chat::{RequestAttributes, build_online_request, find_route, saved_answer};
 use crate::interfaces::TargetRequest;
 use crate::marks::{MarkDecision, MarkEnd, StartedMark, begin_marked};
 use crate::state::DaemonState;
 
-/// The header by which a caller tells a resend from a new request.
+/// Header with the key that distinguishes a retry from a new request.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The longest such key.
-const MOST_KEY_CHARS: usize = 256;
+/// Maximum length of an idempotency key.
+const MAX_KEY_CHARS: usize = 256;
 
-/// Answers a call to a plain service.
+/// Handles a call to a service.
 pub(crate) async fn call_service(
     State(state): State<Arc<DaemonState>>,
     request: Request,
 ) -> Response {
     let outcome = run_call(&state, request).await;
-    answer(&state, outcome)
+    respond(&state, outcome)
 }
 
 async fn run_call(state: &Arc<DaemonState>, request: Request) -> Result<Response, Refusal> {
-    check_ready(state)?;
+    check_not_stopping(state)?;
     let (head, body) = request.into_parts();
     let caller = authenticate(state, &head.headers)?;
     let (route, pool) = find_route(state, RouteQuery::Path(head.uri.path()))?;
@@ -52,13 +52,16 @@
         headers: forwarded_headers(&head.headers),
         body,
     };
-    let traits =
-        WorkTraits { prefix: None, fingerprint: target_request.content_hash(), is_stream: false };
-    let online = make_online(state, caller, route, pool, target_request, traits);
-    run_marked(state, online, &head.headers).await
+    let attributes = RequestAttributes {
+        prefix: None,
+        fingerprint: target_request.content_hash(),
+        is_stream: false,
+    };
+    let online = build_online_request(state, caller, route, pool, target_request, attributes);
+    run_with_mark(state, online, &head.headers).await
 }
 
-/// A caller's headers without its key and without those that belong to its connection.
+/// Returns a caller's headers without its key and without those that apply to its connection only.
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let dropped = [
         AUTHORIZATION,
@@ -72,15 +75,16 @@
         TRANSFER_ENCODING,
         UPGRADE,
     ];
-    let mut kept = headers.clone();
+    let mut forwarded = headers.clone();
     for name in dropped {
-        kept.remove(name);
+        forwarded.remove(name);
     }
-    kept
+    forwarded
 }
 
-/// Runs a request, under a start mark where it may not be repeated and its caller named it.
-pub(crate) async fn run_marked(
+/// Runs a request. If it must not run twice and has an idempotency key, a start mark is written to the
+/// table first and a retry receives the saved answer.
+pub(crate) async fn run_with_mark(
     state: &Arc<DaemonState>,
     online: OnlineRequest,
     headers: &HeaderMap,
@@ -89,31 +93,34 @@
     let Some(key) = key.filter(|_| !online.route.is_repeatable()) else {
         return dispatch_online(state, online).await;
     };
-    if key.is_empty() || key.len() > MOST_KEY_CHARS {
-        let message = format!("Idempotency-Key must have 1 to {MOST_KEY_CHARS} characters");
+    if key.is_empty() || key.len() > MAX_KEY_CHARS {
+        let message = format!("Idempotency-Key must have 1 to {MAX_KEY_CHARS} characters");
         return Err(Refusal::not_run(ResultCode::FieldInvalid, message));
     }
     match begin_marked(state, &online.team.name, key, online.request.content_hash()).await? {
-        MarkDecision::Answered(row) => Ok(kept_answer(row.status, &row.content_type, row.answer)),
+        MarkDecision::Answered(row) => Ok(saved_answer(row.status, &row.content_type, row.answer)),
         MarkDecision::Run(mark) => {
-            // The caller may go away; the request goes on, and its end has to be written.
-            let owned = state.clone();
-            let running = state.tasks.spawn(async move { run_started(&owned, online, mark).await });
-            running.await.unwrap_or_else(|_| {
-                let refusal = Refusal::not_run(ResultCode::Internal, "the request broke off");
+            // The request continues if its caller disconnects, since its outcome has to be written to the
+            // mark.
+            let shared = state.clone();
+            let task = state.tasks.spawn(async move { run_started(&shared, online, mark).await });
+            task.await.unwrap_or_else(|_| {
+                let refusal =
+                    Refusal::not_run(ResultCode::Internal, "the task that ran the request failed");
                 Err(refusal.with_execution(Execution::MayHaveRun))
             })
         }
     }
 }
 
+/// Runs a marked request and writes its outcome to the mark.
 async fn run_started(
     state: &Arc<DaemonState>,
     online: OnlineRequest,
     mark: StartedMark,
 ) -> Result<Response, Refusal> {
     match dispatch_online(state, online).await {
-        Ok(response) => keep_answer(state, response, mark).await,
+        Ok(response) => save_answer(state, response, mark).await,
         Err(refusal) => {
             let not_run = refusal.execution == Execution::NotRun;
             state.marks.finish(mark, if not_run { MarkEnd::NotRun } else { MarkEnd::Unkept });
@@ -122,15 +129,17 @@
     }
 }
 
-/// Keeps a small whole answer for a caller who asks again; a stream is passed on and not kept.
-async fn keep_answer(
+/// Saves an answer in the mark for a caller that retries.
+///
+/// Streams and answers that are larger than the limit of the settings are forwarded but not saved.
+async fn save_answer(
     state: &DaemonState,
     response: Response,
     mark: StartedMark,
 ) -> Result<Response, Refusal> {
-    let most = state.settings.marks.max_kept_bytes as u64;
+    let max_bytes = state.settings.marks.max_kept_bytes as u64;
     let size = http_body::Body::size_hint(response.body()).exact();
-    if size.is_none_or(|size| size > most) {
+    if size.is_none_or(|size| size > max_bytes) {
         state.marks.finish(mark, MarkEnd::Unkept);
         return Ok(response);
     }
--- a/crates/cuminramp-daemon/src/entry/chat.rs
+++ b/crates/cuminramp-daemon/src/entry/chat.rs
@@ -18,17 +18,17 @@
 
 use crate::admission::{admit_request, request_cost};
 use crate::dispatch::OnlineRequest;
-use crate::entry::answers::answer;
-use crate::entry::auth::{KnownCaller, authenticate, check_ready};
+use crate::entry::answers::respond;
+use crate::entry::auth::{AuthenticatedCaller, authenticate, check_not_stopping};
 use crate::entry::body::read_bounded;
-use crate::entry::calls::run_marked;
+use crate::entry::calls::run_with_mark;
 use crate::interfaces::TargetRequest;
 use crate::state::DaemonState;
 
-/// The path of the same endpoint on engines.
+/// Path of the chat completions endpoint on engines.
 const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// What the daemon reads of a chat request; the rest goes to the engine as it came.
+/// Fields of a chat request that the daemon reads. The engine receives the body unchanged.
 #[derive(Deserialize)]
 struct ChatFields {
     model: String,
@@ -41,17 +41,17 @@
     messages: Vec<Value>,
 }
 
-/// Answers a chat request.
+/// Handles a chat request.
 pub(crate) async fn complete_chat(
     State(state): State<Arc<DaemonState>>,
     request: Request,
 ) -> Response {
     let outcome = run_chat(&state, request).await;
-    answer(&state, outcome)
+    respond(&state, outcome)
 }
 
 async fn run_chat(state: &Arc<DaemonState>, request: Request) -> Result<Response, Refusal> {
-    check_ready(state)?;
+    check_not_stopping(state)?;
     let (head, body) = request.into_parts();
     let caller = authenticate(state, &head.headers)?;
     let body = read_bounded(state, body, state.settings.limits.max_body_bytes).await?;
@@ -60,15 +60,16 @@
     let max_tokens = fields.max_completion_tokens.or(fields.max_tokens);
     admit_request(state, &caller.team, request_cost(&caller.team, max_tokens)).await?;
     state.metrics.count_request(&route.name);
-    let traits = WorkTraits {
+    let attributes = RequestAttributes {
         prefix: prefix_hash(state, &fields),
         fingerprint: prompt_hash(&fields),
         is_stream: fields.stream,
     };
-    let online = make_online(state, caller, route, pool, chat_request(body), traits);
-    run_marked(state, online, &head.headers).await
+    let online = build_online_request(state, caller, route, pool, chat_request(body), attributes);
+    run_with_mark(state, online, &head.headers).await
 }
 
+/// Parses the fields of a chat request. Refuses a request without messages.
 fn read_fields(body: &[u8]) -> Result<ChatFields, Refusal> {
     let fields: ChatFields = serde_json::from_slice(body)
         .map_err(|error| Refusal::not_run(ResultCode::BodyMalformed, error.to_string()))?;
@@ -78,22 +79,24 @@
     Ok(fields)
 }
 
-/// The request that an engine gets: nothing of the caller's headers, and so not its key.
+/// Returns the request for an engine. It has none of the caller's headers, so the engine doesn't receive
+/// the key.
 pub(crate) fn chat_request(body: Bytes) -> TargetRequest {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     TargetRequest { method: Method::POST, path: CHAT_PATH.into(), headers, body }
 }
 
-/// A hash of the prompt's beginning: requests that share it run best on one engine.
+/// Returns a hash of the beginning of the prompt. Requests that share it should run on one engine, which
+/// then reuses its prefix cache.
 fn prefix_hash(state: &DaemonState, fields: &ChatFields) -> Option<u64> {
     let first = fields.messages.first()?.get("content")?.as_str()?;
-    let length = state.settings.targets.prefix_chars;
-    let end = first.char_indices().nth(length).map_or(first.len(), |(index, _)| index);
+    let prefix_chars = state.settings.targets.prefix_chars;
+    let end = first.char_indices().nth(prefix_chars).map_or(first.len(), |(index, _)| index);
     Some(hash_parts(&[&fields.model, &first[..end]]))
 }
 
-/// The route for a query and the pool behind it.
+/// Returns the route for a query and the pool of the route.
 pub(crate) fn find_route(
     state: &DaemonState,
     query: RouteQuery<'_>,
@@ -114,40 +117,42 @@
     }
 }
 
-/// A hash of the whole prompt.
+/// Returns a hash of the complete prompt.
 fn prompt_hash(fields: &ChatFields) -> u64 {
     let messages: Vec<String> = fields.messages.iter().map(|message| message.to_string()).collect();
     let parts: Vec<&str> = messages.iter().map(String::as_str).collect();
     hash_parts(&parts)
 }
 
-/// What the choice of target and the watch for crashes look at.
-pub(crate) struct WorkTraits {
+/// Properties of a request for the choice of a target and for crash counting.
+pub(crate) struct RequestAttributes {
+    /// Hash of the beginning of the prompt.
     pub(crate) prefix: Option<u64>,
+    /// Hash of the work, by which crashes are counted.
     pub(crate) fingerprint: u64,
     pub(crate) is_stream: bool,
 }
 
-/// Puts a request together that was admitted.
-pub(crate) fn make_online(
+/// Builds an online request from an admitted request. Its deadline is the timeout of the route from now.
+pub(crate) fn build_online_request(
     state: &DaemonState,
-    caller: KnownCaller,
+    caller: AuthenticatedCaller,
     route: Route,
     pool: Pool,
     request: TargetRequest,
-    traits: WorkTraits,
+    attributes: RequestAttributes,
 ) -> OnlineRequest {
     let deadline = Instant::now() + Duration::from_millis(route.timeout_ms.into());
     let id: Name = format!("{:x}-{}", state.me.id.incarnation, state.next_number()).into();
     let (team, key) = (caller.team, caller.key);
-    let WorkTraits { prefix, fingerprint, is_stream } = traits;
+    let RequestAttributes { prefix, fingerprint, is_stream } = attributes;
     OnlineRequest { id, team, key, route, pool, request, prefix, fingerprint, is_stream, deadline }
 }
 
-/// Lists the models that have a route.
+/// Handles a request for the list of models that have a route.
 pub(crate) async fn list_models(
     State(state): State<Arc<DaemonState>>,
-    _: KnownCaller,
+    _: AuthenticatedCaller,
 ) -> Json<Value> {
     let in_force = state.configuration.in_force();
     let models = in_force.planner.models();
@@ -157,8 +162,8 @@
     Json(json!({"object": "list", "data": data}))
 }
 
-/// An answer that was kept.
-pub(crate) fn kept_answer(status: u32, content_type: &str, body: Vec<u8>) -> Response {
+/// Returns the response for an answer that was saved in a mark.
+pub(crate) fn saved_answer(status: u32, content_type: &str, body: Vec<u8>) -> Response {
     let mut response = Body::from(body).into_response();
     let status = u16::try_from(status).ok();
     if let Some(status) = status.and_then(|status| http::StatusCode::from_u16(status).ok()) {
--- a/crates/cuminramp-daemon/src/entry/files.rs
+++ b/crates/cuminramp-daemon/src/entry/files.rs
@@ -1,4 +1,4 @@
-//! Files: inputs that callers upload, and outputs of jobs.
+//! HTTP handlers for files: inputs that callers upload and outputs of jobs.
 
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -17,42 +17,44 @@
 
 use crate::admission::{admit_request, request_cost};
 use crate::batch::read_output;
-use crate::entry::answers::answer;
-use crate::entry::auth::{KnownCaller, authenticate, check_ready};
+use crate::entry::answers::respond;
+use crate::entry::auth::{AuthenticatedCaller, authenticate, check_not_stopping};
 use crate::entry::body::read_bounded;
 use crate::state::DaemonState;
 
-/// What identifiers of uploaded files start with.
+/// Prefix of the identifiers of uploaded files.
 const FILE_PREFIX: &str = "file-";
-/// Hexadecimal digits of an identifier.
+/// Number of hexadecimal digits in an identifier.
 const ID_DIGITS: usize = 32;
-/// What the form around a file may add to its size.
-const FORM_OVERHEAD: usize = 64 << 10;
-/// Files in one list.
-const LIST_LIMIT: usize = 1_000;
+/// Maximum number of bytes that the multipart form adds to the size of a file.
+const MAX_FORM_OVERHEAD_BYTES: usize = 64 << 10;
+/// Maximum number of files in one list.
+const MAX_LISTED_FILES: usize = 1_000;
 
-/// The row of a file.
+/// Returns the key of a file's row.
 pub(crate) fn file_key(team: &str, id: &str) -> String {
     format!("file/{team}/{id}")
 }
 
-/// The object of a file.
+/// Returns the name of a file's object.
 pub(crate) fn file_object(team: &str, id: &str) -> String {
     format!("files/{team}/{id}")
 }
 
-/// Seconds since 1970.
+/// Returns the seconds since 1970.
 pub(crate) fn unix_now() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |passed| passed.as_secs())
 }
 
-/// The error for a caller when the platform can't be reached.
+/// Returns the refusal for a caller when the table or the object store fails.
 pub(crate) fn store_refusal(error: StoreError) -> Refusal {
     let refusal = Refusal::not_run(ResultCode::StoreUnavailable, error.to_string());
     refusal.with_retry_after(std::time::Duration::from_secs(2))
 }
 
-/// Digits that stand for the parts: the same parts have the same digits.
+/// Returns [`ID_DIGITS`] hexadecimal digits of a hash of the parts. Equal parts give equal digits.
+///
+/// The length of each part is hashed too, so moving bytes from one part to the next changes the digits.
 pub(crate) fn content_digits(parts: &[&[u8]]) -> String {
     let mut hasher = Sha256::new();
     for part in parts {
@@ -64,29 +66,29 @@
     hex[..ID_DIGITS].to_owned()
 }
 
-/// An uploaded file.
+/// Uploaded file.
 struct Upload {
     filename: String,
     purpose: String,
     content: Bytes,
 }
 
-/// Takes a file in.
+/// Handles the upload of a file.
 pub(crate) async fn upload_file(
     State(state): State<Arc<DaemonState>>,
     request: Request,
 ) -> Response {
     let outcome = store_upload(&state, request).await;
-    answer(&state, outcome.map(Json))
+    respond(&state, outcome.map(Json))
 }
 
 async fn store_upload(state: &Arc<DaemonState>, request: Request) -> Result<Value, Refusal> {
-    check_ready(state)?;
+    check_not_stopping(state)?;
     let caller = authenticate(state, request.headers())?;
     admit_request(state, &caller.team, request_cost(&caller.team, None)).await?;
     let upload = read_upload(state, request).await?;
     let team = &caller.team.name;
-    // The identifier follows from the content, so a file that is sent again is the same file.
+    // The identifier is derived from the content, so uploading a file again gives the same identifier.
     let digits = content_digits(&[team.as_bytes(), upload.purpose.as_bytes(), &upload.content]);
     let row = FileRow {
         id: format!("{FILE_PREFIX}{digits}"),
@@ -99,16 +101,17 @@
     let object = file_object(team, &row.id);
     state.platform.objects.put(&object, upload.content).await.map_err(store_refusal)?;
     let put = Transaction::default().put(file_key(team, &row.id), encode_row(&row));
-    // Written twice it says the same: a lost answer may be tried again by the caller.
+    // Writing the row twice does no harm, so a caller whose response was lost can retry.
     state.platform.table.commit(put).await.map_err(store_refusal)?;
     log::info!(team = &**team, file = row.id.as_str(), bytes = row.bytes; "file");
     Ok(file_json(&row))
 }
 
+/// Reads the multipart form of an upload. Refuses a form without a file or with an empty one.
 async fn read_upload(state: &DaemonState, request: Request) -> Result<Upload, Refusal> {
-    let most = state.settings.limits.max_file_bytes + FORM_OVERHEAD;
+    let max_bytes = state.settings.limits.max_file_bytes + MAX_FORM_OVERHEAD_BYTES;
     let (head, body) = request.into_parts();
-    let bytes = read_bounded(state, body, most).await?;
+    let bytes = read_bounded(state, body, max_bytes).await?;
     let request = Request::from_parts(head, Body::from(bytes));
     let malformed = |reason: String| Refusal::not_run(ResultCode::BodyMalformed, reason);
     let mut form = Multipart::from_request(request, &())
@@ -133,7 +136,7 @@
     if upload.content.is_empty() {
         return Err(Refusal::not_run(
             ResultCode::FieldInvalid,
-            "the form has no file, or it is empty",
+            "the form has no file, or the file is empty",
         ));
     }
     Ok(upload)
@@ -151,7 +154,7 @@
     })
 }
 
-/// The row of a team's file.
+/// Returns the row of a team's file.
 pub(crate) async fn find_file(
     state: &DaemonState,
     team: &str,
@@ -164,19 +167,19 @@
     })
 }
 
-/// Shows a file.
+/// Handles a request for the properties of a file.
 pub(crate) async fn show_file(
     State(state): State<Arc<DaemonState>>,
-    caller: KnownCaller,
+    caller: AuthenticatedCaller,
     Path(id): Path<String>,
 ) -> Response {
     let outcome = describe_file(&state, &caller, &id).await;
-    answer(&state, outcome.map(Json))
+    respond(&state, outcome.map(Json))
 }
 
 async fn describe_file(
     state: &DaemonState,
-    caller: &KnownCaller,
+    caller: &AuthenticatedCaller,
     id: &str,
 ) -> Result<Value, Refusal> {
     if let Some(output) = read_output(state, &caller.team.name, id).await? {
@@ -189,40 +192,42 @@
     Ok(file_json(&find_file(state, &caller.team.name, id).await?))
 }
 
-/// Lists the files that a team uploaded.
+/// Handles a request for the list of files that a team uploaded.
 pub(crate) async fn list_files(
     State(state): State<Arc<DaemonState>>,
-    caller: KnownCaller,
+    caller: AuthenticatedCaller,
 ) -> Response {
     let outcome = scan_files(&state, &caller).await;
-    answer(&state, outcome.map(Json))
+    respond(&state, outcome.map(Json))
 }
 
-async fn scan_files(state: &DaemonState, caller: &KnownCaller) -> Result<Value, Refusal> {
+async fn scan_files(state: &DaemonState, caller: &AuthenticatedCaller) -> Result<Value, Refusal> {
     let prefix = file_key(&caller.team.name, "");
-    let rows = state.platform.table.scan(&prefix, "", LIST_LIMIT).await.map_err(store_refusal)?;
+    let rows =
+        state.platform.table.scan(&prefix, "", MAX_LISTED_FILES).await.map_err(store_refusal)?;
     let files = rows.iter().filter_map(|row| decode_row::<FileRow>(&row.value).ok());
     let data: Vec<Value> = files.map(|row| file_json(&row)).collect();
     Ok(json!({"object": "list", "data": data, "has_more": false}))
 }
 
-/// Reads a file's content.
+/// Handles a request for the content of a file.
 pub(crate) async fn read_file(
     State(state): State<Arc<DaemonState>>,
-    caller: KnownCaller,
+    caller: AuthenticatedCaller,
     Path(id): Path<String>,
 ) -> Response {
     let outcome = read_content(&state, &caller, &id).await;
     let outcome =
         outcome.map(|content| ([("content-type", "application/jsonl")], content).into_response());
-    answer(&state, outcome)
+    respond(&state, outcome)
 }
 
-/// A job's output or an uploaded file; neither needs the table, so that results stay readable while
-/// it is down.
+/// Returns the content of a job's output or of an uploaded file.
+///
+/// Neither is read through the table, so results stay readable while it is down.
 async fn read_content(
     state: &DaemonState,
-    caller: &KnownCaller,
+    caller: &AuthenticatedCaller,
     id: &str,
 ) -> Result<Bytes, Refusal> {
     let team = &caller.team.name;
--- a/crates/cuminramp-daemon/src/entry/mod.rs
+++ b/crates/cuminramp-daemon/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! Serves callers.
+//! HTTP interface for callers: chat completions, files, batches, calls to services, and steering.
 
 mod answers;
 mod auth;
@@ -19,7 +19,7 @@
 
 use crate::state::DaemonState;
 
-/// The interface for callers.
+/// Builds the router of the interface for callers.
 pub(crate) fn build_router(state: Arc<DaemonState>) -> Router {
     Router::new()
         .route("/v1/chat/completions", post(chat::complete_chat))
--- a/crates/cuminramp-daemon/src/entry/steering.rs
+++ b/crates/cuminramp-daemon/src/entry/steering.rs
@@ -1,4 +1,4 @@
-//! Which hosts a caller should use.
+//! Steering: lists the hosts that a caller should use.
 
 use std::sync::Arc;
 
@@ -10,42 +10,43 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::entry::auth::KnownCaller;
+use crate::entry::auth::AuthenticatedCaller;
 use crate::state::{DaemonState, lock};
 
-/// What a caller may say of itself.
+/// Query parameters of a steering request.
 #[derive(Deserialize)]
 pub(crate) struct SteeringQuery {
-    /// The availability zone it is in; without it, that of the host it asks.
+    /// Availability zone of the caller; by default that of the host that receives the request.
     zone: Option<String>,
 }
 
 /// Answers `GET /cuminramp/hosts`.
 pub(crate) async fn show_hosts(
     State(state): State<Arc<DaemonState>>,
-    caller: KnownCaller,
+    caller: AuthenticatedCaller,
     Query(query): Query<SteeringQuery>,
 ) -> Json<Value> {
     Json(steer(&state, query.zone.as_deref(), &caller))
 }
 
-fn steer(state: &DaemonState, zone: Option<&str>, caller: &KnownCaller) -> Value {
+/// Returns the hosts that a caller should use, and how long it may cache the list.
+fn steer(state: &DaemonState, zone: Option<&str>, caller: &AuthenticatedCaller) -> Value {
     let zone = zone.unwrap_or(&state.me.zone);
-    let owners = owners_of(state, &caller.team);
+    let owners = shard_owners(state, &caller.team);
     let usable = lock(&state.members).usable_hosts();
-    let answer = state.steering.plan(&caller.team.name, zone, &usable, &owners);
-    let hosts: Vec<Value> = answer
+    let plan = state.steering.plan(&caller.team.name, zone, &usable, &owners);
+    let hosts: Vec<Value> = plan
         .hosts
         .iter()
         .map(|host| json!({"address": &*host.caller_address, "availability-zone": &*host.zone}))
         .collect();
-    let addresses: Vec<&str> = answer.hosts.iter().map(|host| &*host.caller_address).collect();
+    let addresses: Vec<&str> = plan.hosts.iter().map(|host| &*host.caller_address).collect();
     log::info!(team = &*caller.team.name, zone = zone, hosts = addresses.join(",").as_str(); "steering");
-    json!({"hosts": hosts, "keep-ms": answer.keep.as_millis() as u64})
+    json!({"hosts": hosts, "keep-ms": plan.keep.as_millis() as u64})
 }
 
-/// The runs that own the shards of a team's rate.
-fn owners_of(state: &DaemonState, team: &Team) -> Vec<HostId> {
+/// Returns the owners of the shards of a team's rate, each as one incarnation of a host.
+fn shard_owners(state: &DaemonState, team: &Team) -> Vec<HostId> {
     let ledger = lock(&state.ledger);
     let limits = TeamLimits::from_tokens(team.rate, team.burst);
     let count = slice_count(limits, ledger.policy());
