--- a/crates/cuminramp-daemon/src/entry/calls.rs
+++ b/crates/cuminramp-daemon/src/entry/calls.rs
@@ -82,8 +82,10 @@
     forwarded
 }
 
-/// Runs a request. If it must not run twice and has an idempotency key, a start mark is written to the
-/// table first and a retry receives the saved answer.
+/// Runs a request.
+///
+/// If it must not run twice and has an idempotency key, a start mark is written to the table first: a row
+/// which proves that the request was started. A retry receives the answer that was saved in the mark.
 pub(crate) async fn run_with_mark(
     state: &Arc<DaemonState>,
     online: OnlineRequest,
