--- a/crates/cuminramp-daemon/src/logging.rs
+++ b/crates/cuminramp-daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: one line of key=value pairs for each event, on standard output.
+//! Logging to standard output, one line of key=value pairs per event.
 
 use std::fmt;
 use std::io::Write;
@@ -12,30 +12,30 @@
 use logforth::record::Record;
 use logforth::{Diagnostic, Error};
 
-/// Lines that wait for the writer. At about 300 bytes a line they take 600 KB at the most; a host
-/// writes some hundred lines a second under full load.
-const WAITING_LINES: usize = 2_000;
+/// Maximum number of lines queued for the writer. At about 300 bytes a line the queue holds at most 600 KB;
+/// a host under full load writes some hundred lines a second.
+const MAX_QUEUED_LINES: usize = 2_000;
 
-/// Bytes of one write.
-const MOST_WRITE_BYTES: usize = 32 << 10;
-/// How long the end of a process waits for its last lines.
-const FLUSH_LIMIT: Duration = Duration::from_millis(500);
+/// Size in bytes from which no further lines are added to a write.
+const WRITE_BATCH_BYTES: usize = 32 << 10;
+/// Timeout of `flush`, which waits for the last lines at the end of the process.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Hands lines to a thread that writes them.
+/// Bounded queue of log lines, written by a thread of its own.
 ///
-/// Whoever reads standard output may stop reading. A process that waited for it would stand still in
-/// the middle of its callers' streams; here lines are dropped and counted instead, and the next line
-/// that gets through says how many.
+/// The reader of standard output may stop reading. A blocking write would then stall the process in the
+/// middle of its callers' streams; instead, lines that do not fit the queue are dropped and counted, and
+/// the next queued line carries the count as `lines_dropped`.
 pub struct BoundedOutput {
-    lines: SyncSender<OutputOrder>,
+    lines: SyncSender<WriterCommand>,
     dropped: AtomicU64,
     layout: LogfmtLayout,
 }
 
-/// What the writer is asked to do.
-enum OutputOrder {
+/// Command to the writer thread.
+enum WriterCommand {
     Write(Vec<u8>),
-    /// Say when everything before is written.
+    /// Signals the sender once all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
@@ -52,18 +52,18 @@
     /// let output = cuminramp_daemon::BoundedOutput::new(std::io::sink());
     /// ```
     pub fn new(mut output: impl Write + Send + 'static) -> Self {
-        let (lines, waiting) = sync_channel::<OutputOrder>(WAITING_LINES);
+        let (lines, queued) = sync_channel::<WriterCommand>(MAX_QUEUED_LINES);
         std::thread::spawn(move || {
-            let mut held_back = None;
-            while let Some(order) = held_back.take().or_else(|| waiting.recv().ok()) {
-                match order {
-                    OutputOrder::Write(mut line) => {
-                        held_back = gather(&mut line, &waiting);
-                        // Nobody can learn that standard output is gone.
+            let mut next = None;
+            while let Some(command) = next.take().or_else(|| queued.recv().ok()) {
+                match command {
+                    WriterCommand::Write(mut line) => {
+                        next = append_queued(&mut line, &queued);
+                        // A failed write can't be reported: standard output is where it would be logged.
                         let _ = output.write_all(&line);
                         let _ = output.flush();
                     }
-                    OutputOrder::Flush(done) => {
+                    WriterCommand::Flush(done) => {
                         let _ = done.send(());
                     }
                 }
@@ -72,14 +72,14 @@
         BoundedOutput { lines, dropped: AtomicU64::new(0), layout: LogfmtLayout::default() }
     }
 
-    /// Takes a line, or counts it as dropped.
+    /// Queues a line, or counts it as dropped if the queue is full.
     pub fn push(&self, mut line: Vec<u8>) {
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             line.extend_from_slice(format!(" lines_dropped={dropped}").as_bytes());
         }
         line.push(b'\n');
-        if let Err(TrySendError::Full(_)) = self.lines.try_send(OutputOrder::Write(line)) {
+        if let Err(TrySendError::Full(_)) = self.lines.try_send(WriterCommand::Write(line)) {
             self.dropped.fetch_add(dropped + 1, Ordering::Relaxed);
         }
     }
@@ -91,30 +91,32 @@
         Ok(())
     }
 
-    /// Waits a moment until everything is written, as at the end of a process.
+    /// Waits until all queued lines are written, for up to `FLUSH_TIMEOUT`; returns at once if the queue is
+    /// full.
     fn flush(&self) -> Result<(), Error> {
         let (done, wait) = sync_channel(1);
-        if self.lines.try_send(OutputOrder::Flush(done)).is_ok() {
-            // Lines that nobody reads in that time are lost with the process.
-            let _ = wait.recv_timeout(FLUSH_LIMIT);
+        if self.lines.try_send(WriterCommand::Flush(done)).is_ok() {
+            // Lines that are not written within the timeout are lost when the process ends.
+            let _ = wait.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
 }
 
-/// Adds what else waits to a line, so that it goes out in the same write; returns an order that is
-/// no line.
-fn gather(line: &mut Vec<u8>, waiting: &Receiver<OutputOrder>) -> Option<OutputOrder> {
-    while line.len() < MOST_WRITE_BYTES {
-        match waiting.try_recv().ok()? {
-            OutputOrder::Write(more) => line.extend_from_slice(&more),
-            order => return Some(order),
+/// Appends further queued lines to `line`, so that one write covers them; returns the first command that is
+/// no line, if it finds one.
+fn append_queued(line: &mut Vec<u8>, queued: &Receiver<WriterCommand>) -> Option<WriterCommand> {
+    while line.len() < WRITE_BATCH_BYTES {
+        match queued.try_recv().ok()? {
+            WriterCommand::Write(more) => line.extend_from_slice(&more),
+            command => return Some(command),
         }
     }
     None
 }
 
-/// Sends log lines of `level` and above to standard output. A second call changes nothing.
+/// Starts logging to standard output at `level` and above, and at `warn` and above for other crates. Has no
+/// effect if logging was started before or `level` is invalid.
 pub fn start_logging(level: &str) {
     let directives = format!("warn,cuminramp={level}");
     let Ok(filter) = directives.parse::<RustLogFilter>() else {
--- a/crates/cuminramp-daemon/src/logging/tests.rs
+++ b/crates/cuminramp-daemon/src/logging/tests.rs
@@ -5,22 +5,22 @@
 
 use logforth::append::Append;
 
-use super::{BoundedOutput, WAITING_LINES};
+use super::{BoundedOutput, MAX_QUEUED_LINES};
 
-/// How long the test waits for a line on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for a line to arrive; generous, for busy machines.
+const LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An output whose reader takes bytes only when the test says so.
-struct SlowReader {
+/// Output whose writes block until the test permits them.
+struct BlockedOutput {
     entered: Sender<()>,
-    gate: Receiver<()>,
+    permits: Receiver<()>,
     written: Sender<Vec<u8>>,
 }
 
-impl Write for SlowReader {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let _ = self.entered.send(());
-        let _ = self.gate.recv();
+        let _ = self.permits.recv();
         let _ = self.written.send(bytes.to_vec());
         Ok(bytes.len())
     }
@@ -35,26 +35,26 @@
     dropped.map(|count| count.trim().parse::<usize>().unwrap()).sum()
 }
 
-/// Whoever collects the logs stops reading, and the pipe fills up. A host that waited for it would
-/// stop serving, and callers would see their streams stand still.
+/// Guards against logging that blocks the host: the log collector stops reading, the pipe fills up, and a
+/// host that waits for it stops serving, so that its callers' streams stall.
 #[test]
-fn an_output_that_nobody_reads_blocks_nobody_and_loses_lines_countably() {
+fn push_never_blocks_on_a_stalled_output_and_counts_dropped_lines() {
     let (entered, writing) = channel();
-    let (open, gate) = channel();
+    let (open, permits) = channel();
     let (written, lines) = channel();
-    let output = BoundedOutput::new(SlowReader { entered, gate, written });
+    let output = BoundedOutput::new(BlockedOutput { entered, permits, written });
     output.push(b"first=1".to_vec());
-    // The writer stands in its write now, so that nothing leaves the queue.
+    // The writer is blocked in a write now, so nothing leaves the queue.
     writing.recv().unwrap();
 
-    let began = Instant::now();
-    for _ in 0..WAITING_LINES * 3 {
+    let started = Instant::now();
+    for _ in 0..MAX_QUEUED_LINES * 3 {
         output.push(b"x=1".to_vec());
     }
-    let took = began.elapsed();
+    let elapsed = started.elapsed();
     let dropped_at_once = output.dropped.load(Ordering::Relaxed);
     drop(open);
-    // The queue may be full for a moment yet; a line that is dropped now is counted as well.
+    // The queue may still be full for a moment; lines dropped meanwhile are counted as well.
     let mut tries = 0;
     while tries == 0 || output.dropped.load(Ordering::Relaxed) > 0 {
         output.push(b"z=1".to_vec());
@@ -63,24 +63,24 @@
     }
     let mut text = String::new();
     while !text.contains("z=1") {
-        text.push_str(&String::from_utf8_lossy(&lines.recv_timeout(PATIENCE).unwrap()));
+        text.push_str(&String::from_utf8_lossy(&lines.recv_timeout(LINE_TIMEOUT).unwrap()));
     }
 
-    assert!(took < Duration::from_secs(2), "{took:?}");
-    assert_eq!(dropped_at_once as usize, WAITING_LINES * 2);
+    assert!(elapsed < Duration::from_secs(2), "{elapsed:?}");
+    assert_eq!(dropped_at_once as usize, MAX_QUEUED_LINES * 2);
     let kept = text.lines().filter(|line| line.starts_with("x=1")).count();
-    assert_eq!(kept, WAITING_LINES);
-    assert_eq!(dropped_in(&text), WAITING_LINES * 2 + tries - 1);
+    assert_eq!(kept, MAX_QUEUED_LINES);
+    assert_eq!(dropped_in(&text), MAX_QUEUED_LINES * 2 + tries - 1);
 }
 
-/// A host leaves, and its last lines say how it went. Lost with the process, they would be missed
-/// by whoever asks why a request was cut off.
+/// Guards against losing the last lines of a leaving host: they show how its drain ended, which is needed to
+/// explain a request that was cut off.
 #[test]
-fn the_last_lines_are_written_before_the_end() {
+fn flush_waits_until_queued_lines_are_written() {
     let (entered, _writing) = channel();
-    let (open, gate) = channel();
+    let (open, permits) = channel();
     let (written, lines) = channel();
-    let output = BoundedOutput::new(SlowReader { entered, gate, written });
+    let output = BoundedOutput::new(BlockedOutput { entered, permits, written });
     drop(open);
 
     output.push(b"message=left".to_vec());
