--- a/crates/cuminramp-daemon/src/cmd/check.rs
+++ b/crates/cuminramp-daemon/src/cmd/check.rs
@@ -5,7 +5,7 @@
 use crate::cmd::load_settings;
 use crate::flags;
 
-/// Says whether settings can be used.
+/// Checks a settings file and prints whether it is valid.
 pub(crate) fn execute(flags: &flags::Check) -> ExitCode {
     match load_settings(&flags.settings) {
         Ok(_) => {
--- a/crates/cuminramp-daemon/src/cmd/gateway.rs
+++ b/crates/cuminramp-daemon/src/cmd/gateway.rs
@@ -12,11 +12,11 @@
 use crate::cmd::{EXIT_SETTINGS, reload_on_signal, wait_for_signal};
 use crate::flags;
 
-/// Runs until a signal, then leaves.
+/// Runs a gateway until SIGTERM or SIGINT, then drains it.
 pub(crate) async fn execute(flags: flags::Gateway) -> ExitCode {
     let path = flags.settings.or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
     let Some(path) = path else {
-        eprintln!("1502 SettingsInvalid: name settings or set {SETTINGS_VARIABLE}");
+        eprintln!("1502 SettingsInvalid: pass --settings or set {SETTINGS_VARIABLE}");
         return ExitCode::from(EXIT_SETTINGS);
     };
     let settings = match load(&path) {
@@ -47,9 +47,9 @@
 fn load(path: &std::path::Path) -> Result<GatewaySettings, String> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| format!("1502 SettingsInvalid: {}: {error}", path.display()))?;
-    parse_gateway_settings(&text).map_err(|faults| {
+    parse_gateway_settings(&text).map_err(|errors| {
         let lines: Vec<String> =
-            faults.iter().map(|fault| format!("{}: {fault}", path.display())).collect();
+            errors.iter().map(|error| format!("{}: {error}", path.display())).collect();
         lines.join("\n")
     })
 }
--- a/crates/cuminramp-daemon/src/cmd/quickstart.rs
+++ b/crates/cuminramp-daemon/src/cmd/quickstart.rs
@@ -13,25 +13,25 @@
 use http_body_util::Full;
 use serde_json::{Value, json};
 
-use crate::cmd::{EXIT_SETTINGS, check_text, load_settings, wait_for_signal};
+use crate::cmd::{EXIT_SETTINGS, load_settings, parse_text, wait_for_signal};
 use crate::flags;
 
-/// The settings that are used where none are named.
-const SETTINGS: &str = include_str!("../../../../examples/quickstart.jsonc");
-/// Engines of the quickstart.
-const ENGINES: usize = 3;
-/// How long the daemon may take to become ready.
-const READY_TRIES: u32 = 100;
-/// Waits between looks.
-const READY_PAUSE: Duration = Duration::from_millis(50);
-/// Largest answer of the operators' interface that is read.
-const MOST_ANSWER_BYTES: usize = 1 << 20;
+/// Default settings, used if no file is given.
+const DEFAULT_SETTINGS: &str = include_str!("../../../../examples/quickstart.jsonc");
+/// Number of stand-in engines.
+const ENGINE_COUNT: usize = 3;
+/// Maximum number of checks whether the operator API of the daemon is up.
+const MAX_READY_CHECKS: u32 = 100;
+/// Interval between those checks.
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum size in bytes of a response of the operator API.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Runs a daemon on embedded stand-ins and says how to use it.
+/// Runs a daemon on embedded stand-ins for the platform and engines, and prints commands that use it.
 pub(crate) async fn execute(flags: flags::Quickstart) -> ExitCode {
     let settings = match &flags.settings {
         Some(path) => load_settings(path),
-        None => check_text(SETTINGS, "examples/quickstart.jsonc"),
+        None => parse_text(DEFAULT_SETTINGS, "examples/quickstart.jsonc"),
     };
     let settings = match settings {
         Ok(settings) => settings,
@@ -61,10 +61,10 @@
     ExitCode::SUCCESS
 }
 
-/// Starts engines, declares them, grants a key and prints lines to try.
+/// Starts the engines, declares them, grants a key and prints commands to try.
 async fn set_up(addresses: DaemonAddresses) -> Result<Vec<Engine>, Box<dyn Error>> {
     let mut engines = Vec::new();
-    for _ in 0..ENGINES {
+    for _ in 0..ENGINE_COUNT {
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
         engines.push(Engine::start(listen, EngineSettings::default()).await?);
     }
@@ -73,8 +73,8 @@
     operator.send(Method::PUT, "/operator/declarations", &declarations(&engines)).await?;
     let grant = json!({"team": "parish-desk", "label": "quickstart"});
     let granted = operator.send(Method::POST, "/operator/keys", &grant).await?;
-    let key = granted["key"].as_str().ok_or("no key was granted")?;
-    print_lines(addresses, key);
+    let key = granted["key"].as_str().ok_or("the response holds no key")?;
+    print_examples(addresses, key);
     Ok(engines)
 }
 
@@ -100,7 +100,7 @@
     })
 }
 
-fn print_lines(addresses: DaemonAddresses, key: &str) {
+fn print_examples(addresses: DaemonAddresses, key: &str) {
     let caller = addresses.caller;
     let chat = r#"{"model":"villancico-llm","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"Which seats are free?"}]}"#;
     let item = r#"{"custom_id":"card-1","method":"POST","url":"/v1/chat/completions","body":{"model":"villancico-llm","messages":[{"role":"user","content":"A greeting for Ana"}]}}"#;
@@ -126,7 +126,7 @@
     );
 }
 
-/// Calls the operators' interface of the daemon just started.
+/// Client of the operator API of the started daemon.
 struct OperatorClient {
     client: HttpClient,
     base: String,
@@ -134,19 +134,19 @@
 
 impl OperatorClient {
     fn new(address: SocketAddr) -> Self {
-        let limit = Duration::from_secs(10);
-        let client = HttpClient::new(CallLimits { connect: limit, first_byte: limit });
+        let timeout = Duration::from_secs(10);
+        let client = HttpClient::new(CallLimits { connect: timeout, first_byte: timeout });
         OperatorClient { client, base: format!("http://{address}") }
     }
 
     async fn wait_until_up(&self) -> Result<(), Box<dyn Error>> {
-        for _ in 0..READY_TRIES {
+        for _ in 0..MAX_READY_CHECKS {
             if self.send(Method::GET, "/operator/declarations", &Value::Null).await.is_ok() {
                 return Ok(());
             }
-            tokio::time::sleep(READY_PAUSE).await;
+            tokio::time::sleep(READY_CHECK_INTERVAL).await;
         }
-        Err("the daemon did not come up".into())
+        Err("the daemon did not start in time".into())
     }
 
     async fn send(
@@ -163,7 +163,7 @@
         let response = self.client.send(request).await?;
         let status = response.status();
         let body =
-            read_body(response.into_body(), MOST_ANSWER_BYTES, Duration::from_secs(10)).await?;
+            read_body(response.into_body(), MAX_RESPONSE_BYTES, Duration::from_secs(10)).await?;
         if !status.is_success() {
             return Err(String::from_utf8_lossy(&body).into_owned().into());
         }
--- a/crates/cuminramp-daemon/src/cmd/run.rs
+++ b/crates/cuminramp-daemon/src/cmd/run.rs
@@ -7,7 +7,7 @@
 use crate::cmd::{EXIT_SETTINGS, load_settings, reload_on_signal, wait_for_signal};
 use crate::flags;
 
-/// Runs until a signal, then leaves.
+/// Runs a daemon until SIGTERM or SIGINT, then drains it.
 pub(crate) async fn execute(flags: flags::Run) -> ExitCode {
     let settings = match load_settings(&flags.settings) {
         Ok(settings) => settings,
@@ -23,7 +23,7 @@
     };
     let path = flags.settings;
     tokio::spawn(reload_on_signal(move || {
-        load_settings(&path).map(drop).map_err(|_| format!("{} can't be used", path.display()))
+        load_settings(&path).map(drop).map_err(|_| format!("{}: invalid settings", path.display()))
     }));
     wait_for_signal().await;
     daemon.leave().await;
--- a/crates/cuminramp-daemon/src/main.rs
+++ b/crates/cuminramp-daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `cuminrampd`: parses its command line and dispatches.
+//! The `cuminrampd` binary: parses the command line and runs a subcommand.
 
 use std::process::ExitCode;
 
