--- a/crates/cuminramp-daemon/src/operator/declarations.rs
+++ b/crates/cuminramp-daemon/src/operator/declarations.rs
@@ -1,4 +1,4 @@
-//! Declarations: what is in force, and how it changes.
+//! Operator API for declarations: shows them, applies a new file, and lists each host's generation.
 
 use std::sync::Arc;
 
@@ -9,21 +9,21 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::operator::publish_failure;
+use crate::operator::publish_error_response;
 use crate::state::{DaemonState, lock};
 use crate::sync::{PublishError, publish_changes, pull_request};
 
-/// Which generation an operator's file was made for.
+/// Query parameters of a request that applies declarations.
 #[derive(Deserialize)]
 pub(crate) struct ApplyQuery {
-    /// The generation that the operator looked at; without it, the one in force.
+    /// Generation that the file is based on; the one in force if absent.
     expect: Option<u64>,
-    /// Only say what would change.
+    /// Only return the changes, without applying them.
     #[serde(default)]
     dry_run: bool,
 }
 
-/// Shows what is in force here.
+/// Returns the declarations in force on this host.
 pub(crate) async fn show(State(state): State<Arc<DaemonState>>) -> Json<Value> {
     let in_force = state.configuration.in_force();
     Json(json!({
@@ -32,7 +32,7 @@
     }))
 }
 
-/// Accepts a whole file of declarations as the next generation, or refuses it whole.
+/// Applies a file of declarations as the next generation; one error rejects the whole file.
 pub(crate) async fn apply(
     State(state): State<Arc<DaemonState>>,
     Query(query): Query<ApplyQuery>,
@@ -40,13 +40,13 @@
 ) -> Response {
     let desired = match parse_declarations(&body) {
         Ok(desired) => desired,
-        Err(faults) => return publish_failure(&state, PublishError::Invalid(faults)),
+        Err(errors) => return publish_error_response(&state, PublishError::Invalid(errors)),
     };
     let in_force = state.configuration.in_force();
     let generation = in_force.configuration.generation;
     let expected = query.expect.unwrap_or(generation);
     if expected != generation {
-        return conflict_answer(&state, &desired);
+        return conflict_response(&state, &desired);
     }
     let changes = plan_changes(&in_force.configuration, &desired);
     let names: Vec<Value> = changes.iter().map(describe_change).collect();
@@ -59,24 +59,24 @@
             Json(json!({"generation": generation, "changes": names, "applied": true}))
                 .into_response()
         }
-        Err(PublishError::Conflict { .. }) => conflict_answer(&state, &desired),
-        Err(error) => publish_failure(&state, error),
+        Err(PublishError::Conflict { .. }) => conflict_response(&state, &desired),
+        Err(error) => publish_error_response(&state, error),
     }
 }
 
-/// Tells an operator who came second what the file would change of what is in force now: both what the
-/// file is for and what it would undo.
-fn conflict_answer(state: &DaemonState, desired: &Declarations) -> Response {
+/// Returns a conflict with the changes that the file would make to the configuration in force now: both
+/// the operator's own changes and those of other operators that the file would undo.
+fn conflict_response(state: &DaemonState, desired: &Declarations) -> Response {
     let in_force = state.configuration.in_force();
     let changes = plan_changes(&in_force.configuration, desired);
     let difference: Vec<Value> = changes.iter().map(describe_change).collect();
     let generation = in_force.configuration.generation;
-    publish_failure(state, PublishError::Conflict { generation, difference })
+    publish_error_response(state, PublishError::Conflict { generation, difference })
 }
 
 fn describe_change(change: &cuminramp_wire::rows::Change) -> Value {
     use cuminramp_wire::rows::change::Entry;
-    let (what, table, name) = match &change.entry {
+    let (action, table, name) = match &change.entry {
         Some(Entry::Route(row)) => ("set", "route", row.name.clone()),
         Some(Entry::Pool(row)) => ("set", "pool", row.name.clone()),
         Some(Entry::Team(row)) => ("set", "team", row.name.clone()),
@@ -87,21 +87,22 @@
         Some(Entry::WithdrawnKey(_)) => ("remove", "key", String::new()),
         None => ("none", "none", String::new()),
     };
-    json!({"change": what, "table": table, "name": name})
+    json!({"change": action, "table": table, "name": name})
 }
 
-/// Shows which hosts have which generation in force, each asked just now.
+/// Queries all usable hosts for their generation and returns the results; `null` for a host that does not
+/// answer.
 pub(crate) async fn show_generations(State(state): State<Arc<DaemonState>>) -> Json<Value> {
     let peers = lock(&state.members).usable_peers();
-    let mut asked = tokio::task::JoinSet::new();
+    let mut pulls = tokio::task::JoinSet::new();
     for address in peers {
         let state = state.clone();
-        asked.spawn(async move {
+        pulls.spawn(async move {
             let reply = state.peers.pull(&address, pull_request(&state, false)).await;
             json!({"host": &*address, "generation": reply.map(|reply| reply.generation)})
         });
     }
-    let mut hosts = asked.join_all().await;
+    let mut hosts = pulls.join_all().await;
     hosts.push(
         json!({"host": &*state.me.id.address, "generation": state.configuration.generation()}),
     );
@@ -109,7 +110,7 @@
     Json(json!({"generation": state.configuration.generation(), "hosts": hosts}))
 }
 
-/// A fault that concerns one field of a request.
-pub(super) fn field_fault(place: &str, reason: impl Into<String>) -> PublishError {
+/// Returns an error about one field of a request.
+pub(super) fn field_error(place: &str, reason: impl Into<String>) -> PublishError {
     PublishError::Invalid(vec![DeclarationError { place: place.into(), reason: reason.into() }])
 }
--- a/crates/cuminramp-daemon/src/operator/keys.rs
+++ b/crates/cuminramp-daemon/src/operator/keys.rs
@@ -1,4 +1,4 @@
-//! Keys: granted, listed and withdrawn.
+//! Operator API for keys: lists, grants and withdraws them.
 
 use std::sync::Arc;
 
@@ -13,35 +13,35 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::operator::declarations::field_fault;
-use crate::operator::publish_failure;
+use crate::operator::declarations::field_error;
+use crate::operator::publish_error_response;
 use crate::peer::spread_updates;
 use crate::state::DaemonState;
 use crate::sync::{PublishError, publish_changes};
 
-/// What keys start with.
+/// Prefix of generated keys.
 const KEY_PREFIX: &str = "sk-cr-";
-/// Random bytes of a key.
+/// Number of random bytes in a generated key.
 const KEY_BYTES: usize = 32;
-/// Digits of a digest that are enough to name a key.
-const SHORT_DIGITS: usize = 12;
-/// How often a change of keys is tried while other changes come first.
-const PUBLISH_TRIES: u32 = 10;
+/// Minimum number of leading hex digits of a digest that identify a key.
+const MIN_DIGEST_DIGITS: usize = 12;
+/// Maximum number of attempts to publish a change of keys that conflicts with other changes.
+const MAX_PUBLISH_ATTEMPTS: u32 = 10;
 
-/// An operator's wish for a key.
+/// Body of a request that grants a key.
 #[derive(Deserialize)]
-pub(crate) struct GrantBody {
-    /// The team it is for.
+pub(crate) struct GrantRequest {
+    /// Team that the key belongs to.
     team: String,
-    /// What operators call it.
+    /// Label that identifies the key for operators; the start of its digest if empty.
     #[serde(default)]
     label: String,
-    /// The key itself, where it exists already; otherwise one is made.
+    /// The key itself, if it exists already; otherwise one is generated.
     #[serde(default)]
     key: Option<String>,
 }
 
-/// Lists keys by digest; keys themselves are kept nowhere.
+/// Lists keys by digest; the keys themselves are not stored.
 pub(crate) async fn list(State(state): State<Arc<DaemonState>>) -> Json<Value> {
     let in_force = state.configuration.in_force();
     let withdrawals = state.configuration.withdrawals();
@@ -56,23 +56,23 @@
     Json(json!({"keys": keys.collect::<Vec<_>>()}))
 }
 
-/// Grants a key and shows it, this once.
+/// Grants a key and returns it; it can't be retrieved later.
 pub(crate) async fn grant(
     State(state): State<Arc<DaemonState>>,
-    Json(body): Json<GrantBody>,
+    Json(body): Json<GrantRequest>,
 ) -> Response {
-    let key = body.key.unwrap_or_else(make_key);
+    let key = body.key.unwrap_or_else(generate_key);
     let digest = KeyDigest::of_key(&key);
     let label = if body.label.is_empty() {
-        digest.to_string()[..SHORT_DIGITS].to_owned()
+        digest.to_string()[..MIN_DIGEST_DIGITS].to_owned()
     } else {
         body.label
     };
     let grant =
         KeyGrant { team: Name::from(body.team.as_str()), label: Name::from(label.as_str()) };
     if !state.configuration.in_force().configuration.teams.contains_key(body.team.as_str()) {
-        let reason = format!("no team is named {:?}", body.team);
-        return publish_failure(&state, field_fault("team", reason));
+        let reason = format!("team {:?} does not exist", body.team);
+        return publish_error_response(&state, field_error("team", reason));
     }
     let change = Change { entry: Some(Entry::Key(grant.to_entry(&digest))) };
     match publish_retrying(&state, change).await {
@@ -84,22 +84,22 @@
             }))
             .into_response()
         }
-        Err(error) => publish_failure(&state, error),
+        Err(error) => publish_error_response(&state, error),
     }
 }
 
-fn make_key() -> String {
+fn generate_key() -> String {
     let mut bytes = [0u8; KEY_BYTES];
     rand::rng().fill(&mut bytes);
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     format!("{KEY_PREFIX}{hex}")
 }
 
-/// Publishes one change of keys; it does not depend on what else a generation holds, so it follows
-/// whatever came first.
+/// Publishes one change of keys, and retries it on conflicts. It does not depend on the rest of the
+/// configuration, so it is valid after any other change.
 async fn publish_retrying(state: &Arc<DaemonState>, change: Change) -> Result<u64, PublishError> {
     let mut last = PublishError::Unknown("not tried".into());
-    for _ in 0..PUBLISH_TRIES {
+    for _ in 0..MAX_PUBLISH_ATTEMPTS {
         let expected = state.configuration.generation();
         match publish_changes(state, expected, vec![change.clone()]).await {
             Err(error @ PublishError::Conflict { .. }) => last = error,
@@ -109,10 +109,10 @@
     Err(last)
 }
 
-/// Withdraws a key, named by the key itself, its label or the first digits of its digest.
+/// Withdraws a key, identified by the key itself, its label or the first digits of its digest.
 ///
-/// The withdrawal is in force here at once and spreads from host to host also while the table is
-/// down; it is written as soon as the table takes it.
+/// The withdrawal is in force here at once and spreads from host to host even while the table is down; it
+/// is written as soon as the table is reachable.
 pub(crate) async fn withdraw(
     State(state): State<Arc<DaemonState>>,
     Path(name): Path<String>,
@@ -121,14 +121,14 @@
     let digest = match found.as_slice() {
         [digest] => *digest,
         [] => {
-            return publish_failure(
+            return publish_error_response(
                 &state,
-                field_fault("key", format!("no key is named {name:?}")),
+                field_error("key", format!("no key matches {name:?}")),
             );
         }
-        several => {
-            let reason = format!("{} keys are named {name:?}; use the digest", several.len());
-            return publish_failure(&state, field_fault("key", reason));
+        matches => {
+            let reason = format!("{} keys match {name:?}; use the digest", matches.len());
+            return publish_error_response(&state, field_error("key", reason));
         }
     };
     state.configuration.withdraw([digest]);
@@ -148,9 +148,9 @@
     let in_force = state.configuration.in_force();
     let by_key = KeyDigest::of_key(name);
     let keys = in_force.configuration.keys.iter();
-    let named = keys.filter(|(digest, grant)| {
-        let by_digest = name.len() >= SHORT_DIGITS && digest.to_string().starts_with(name);
+    let matching = keys.filter(|(digest, grant)| {
+        let by_digest = name.len() >= MIN_DIGEST_DIGITS && digest.to_string().starts_with(name);
         digest.matches(&by_key) || by_digest || *grant.label == *name
     });
-    named.map(|(digest, _)| *digest).collect()
+    matching.map(|(digest, _)| *digest).collect()
 }
--- a/crates/cuminramp-daemon/src/operator/mod.rs
+++ b/crates/cuminramp-daemon/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! Serves operators and scrapers.
+//! HTTP API for operators and metrics scrapers.
 
 mod declarations;
 mod keys;
@@ -20,10 +20,10 @@
 use crate::state::DaemonState;
 use crate::sync::PublishError;
 
-/// The largest file of declarations.
-const MOST_DECLARATION_BYTES: usize = 64 << 20;
+/// Maximum size of a request body in bytes, which bounds a file of declarations.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// The interface for operators.
+/// Builds the router of the operator API, health checks and metrics.
 pub(crate) fn build_router(state: Arc<DaemonState>) -> Router {
     let guarded = Router::new()
         .route("/operator/declarations", get(declarations::show).put(declarations::apply))
@@ -37,7 +37,7 @@
         .route("/operator/jobs/{team}/{id}", get(views::show_job))
         .route("/operator/jobs/{team}/{id}/cancel", post(views::cancel_job))
         .layer(from_fn_with_state(state.clone(), check_operator));
-    let guarded = guarded.layer(DefaultBodyLimit::max(MOST_DECLARATION_BYTES));
+    let guarded = guarded.layer(DefaultBodyLimit::max(MAX_BODY_BYTES));
     Router::new()
         .route("/healthz", get(views::show_health))
         .route("/readyz", get(views::show_readiness))
@@ -46,35 +46,35 @@
         .with_state(state)
 }
 
-/// Lets operators in who send the token, where one is set.
+/// Rejects requests without the operators' token, if the settings set one.
 async fn check_operator(
     State(state): State<Arc<DaemonState>>,
     request: Request,
     next: Next,
 ) -> Response {
-    let wanted = &state.settings.operator_token;
+    let expected = &state.settings.operator_token;
     let value = request.headers().get(AUTHORIZATION).and_then(|value| value.to_str().ok());
     let sent = value.and_then(|value| value.strip_prefix("Bearer ")).unwrap_or_default();
-    if wanted.is_empty() || KeyDigest::of_key(wanted).matches(&KeyDigest::of_key(sent)) {
+    if expected.is_empty() || KeyDigest::of_key(expected).matches(&KeyDigest::of_key(sent)) {
         return next.run(request).await;
     }
     let message = "send the operators' token as Authorization: Bearer";
     refusal_response(&state, &Refusal::not_run(ResultCode::OperatorUnknown, message))
 }
 
-/// Answers an operator whose change was not accepted; a conflict and a bad generation come with what
-/// the operator needs to see.
-fn publish_failure(state: &DaemonState, error: PublishError) -> Response {
+/// Returns the response for a change that was not published; its details list the changes behind a
+/// conflict or the errors in invalid declarations.
+fn publish_error_response(state: &DaemonState, error: PublishError) -> Response {
     let (code, message, details) = match error {
         PublishError::Conflict { generation, difference } => {
             let message =
-                format!("generation {generation} is in force now; look at it and try again");
+                format!("generation {generation} is in force now; review it and try again");
             let details = json!({"generation": generation, "difference": difference});
             (ResultCode::GenerationConflict, message, details)
         }
-        PublishError::Invalid(faults) => {
-            let message = format!("refused whole: {} faults", faults.len());
-            (ResultCode::DeclarationsInvalid, message, json!({"faults": faults}))
+        PublishError::Invalid(errors) => {
+            let message = format!("all changes rejected: {} errors", errors.len());
+            (ResultCode::DeclarationsInvalid, message, json!({"faults": errors}))
         }
         PublishError::Unavailable(reason) => (ResultCode::StoreUnavailable, reason, json!({})),
         PublishError::Unknown(reason) => {
--- a/crates/cuminramp-daemon/src/operator/views.rs
+++ b/crates/cuminramp-daemon/src/operator/views.rs
@@ -1,4 +1,4 @@
-//! What operators and scrapers look at.
+//! Read-only views and job control for operators, health checks and metrics.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,13 +16,13 @@
 use crate::entry::refusal_response;
 use crate::state::{DaemonState, lock};
 
-/// The daemon runs.
+/// Liveness check: the daemon runs.
 pub(crate) async fn show_health() -> &'static str {
     "ok"
 }
 
-/// The daemon can serve: it has a configuration, every part of teams' rates has an owner, and it is
-/// not leaving.
+/// Readiness check: the daemon has a confirmed configuration, every shard of teams' rates has an owner,
+/// and the daemon is not leaving.
 pub(crate) async fn show_readiness(State(state): State<Arc<DaemonState>>) -> Response {
     let now = Instant::now();
     let owned = lock(&state.ledger).shards().is_complete();
@@ -42,12 +42,12 @@
     (status, Json(body)).into_response()
 }
 
-/// The text for a scraper.
+/// Returns the metrics in the Prometheus text format.
 pub(crate) async fn show_metrics(State(state): State<Arc<DaemonState>>) -> String {
     state.metrics.render()
 }
 
-/// Hosts as this one knows them.
+/// Lists hosts, as recorded in this host's member table.
 pub(crate) async fn show_hosts(State(state): State<Arc<DaemonState>>) -> Json<Value> {
     let members = lock(&state.members);
     let mine = json!({
@@ -72,7 +72,7 @@
     Json(json!({"hosts": hosts}))
 }
 
-/// Targets as this host knows them.
+/// Lists targets with their load, as recorded on this host.
 pub(crate) async fn show_targets(State(state): State<Arc<DaemonState>>) -> Json<Value> {
     let in_force = state.configuration.in_force();
     let now = Instant::now();
@@ -99,7 +99,7 @@
     Json(json!({"targets": rows}))
 }
 
-/// Teams and the hosts that own their rate.
+/// Lists teams and the hosts that own the shards of their rates.
 pub(crate) async fn show_teams(State(state): State<Arc<DaemonState>>) -> Json<Value> {
     let in_force = state.configuration.in_force();
     let ledger = lock(&state.ledger);
@@ -121,7 +121,7 @@
     Json(json!({"teams": teams.collect::<Vec<_>>()}))
 }
 
-fn answer(state: &DaemonState, outcome: Result<Value, Refusal>) -> Response {
+fn job_response(state: &DaemonState, outcome: Result<Value, Refusal>) -> Response {
     match outcome {
         Ok(body) => Json(body).into_response(),
         Err(refusal) => refusal_response(state, &refusal),
@@ -131,7 +131,7 @@
 /// Lists open jobs.
 pub(crate) async fn list_jobs(State(state): State<Arc<DaemonState>>) -> Response {
     let jobs = batch::list_open_jobs(&state).await;
-    answer(&state, jobs.map(|jobs| json!({"jobs": jobs})))
+    job_response(&state, jobs.map(|jobs| json!({"jobs": jobs})))
 }
 
 /// Shows a job.
@@ -140,7 +140,7 @@
     Path((team, id)): Path<(String, String)>,
 ) -> Response {
     let job = batch::describe_job(&state, &team, &id).await;
-    answer(&state, job)
+    job_response(&state, job)
 }
 
 /// Cancels a job.
@@ -149,5 +149,5 @@
     Path((team, id)): Path<(String, String)>,
 ) -> Response {
     let job = batch::cancel_job(&state, &team, &id).await;
-    answer(&state, job)
+    job_response(&state, job)
 }
