--- a/crates/cuminramp-daemon/src/interfaces.rs
+++ b/crates/cuminramp-daemon/src/interfaces.rs
@@ -1,4 +1,5 @@
-//! The daemon's borders: what a bench or test may put in the place of the real thing.
+//! Interfaces of the daemon to the platform, targets and other daemons; tests and benchmarks can replace
+//! their implementations.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -16,14 +17,14 @@
 use futures_util::Stream;
 use http::{HeaderMap, Method, StatusCode};
 
-/// The platform's services.
+/// Services that the platform provides to a daemon.
 #[derive(Clone)]
 pub struct PlatformInterfaces {
-    /// The table.
+    /// Table for configuration, shards and jobs.
     pub table: Arc<dyn TableStore>,
-    /// The object store.
+    /// Object store for snapshots and files.
     pub objects: Arc<dyn ObjectStore>,
-    /// The host list.
+    /// The platform's list of hosts.
     pub hosts: Arc<dyn HostList>,
 }
 
@@ -36,22 +37,22 @@
     pub path: String,
     /// Headers.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl TargetRequest {
-    /// Tells one request from another by method, path and body.
+    /// Returns a hash of method, path and body, which identifies equal requests.
     pub(crate) fn content_hash(&self) -> u64 {
         let body = String::from_utf8_lossy(&self.body);
         hash_parts(&[self.method.as_str(), &self.path, &body])
     }
 }
 
-/// The bytes of an answer as they come; an error is the last item.
+/// Body of an answer as a stream of chunks; an error ends it.
 pub type TargetBody = Pin<Box<dyn Stream<Item = Result<Bytes, CallError>> + Send>>;
 
-/// The head of an answer, and its body to come.
+/// Answer of a target: status, headers and the stream of its body.
 pub struct TargetAnswer {
     /// Status.
     pub status: StatusCode,
@@ -72,28 +73,28 @@
         first_byte: Duration,
     ) -> Result<TargetAnswer, CallError>;
 
-    /// Throws away the connections to `address`, since one of them went silent.
+    /// Drops all connections to `address`, after a target there stopped answering.
     fn drop_connections(&self, address: &str);
 }
 
-/// Calls other daemons. `None` stands for no answer in time; whether the call arrived is unknown.
+/// Calls other daemons. Returns `None` if a call failed or timed out; the peer may still have received it.
 #[async_trait]
 pub trait PeerCaller: Send + Sync {
-    /// Asks whether a host lives.
-    async fn probe(&self, address: &str, probe: Probe, limit: Duration) -> Option<ProbeReply>;
+    /// Probes a host: exchanges membership updates and version digests with it.
+    async fn probe(&self, address: &str, probe: Probe, timeout: Duration) -> Option<ProbeReply>;
 
-    /// Asks for what this host lacks.
+    /// Requests the change sets, withdrawals and shard rows that this host lacks.
     async fn pull(&self, address: &str, request: PullRequest) -> Option<PullReply>;
 
-    /// Asks a shard's owner for tokens.
+    /// Requests tokens from the owner of a shard.
     async fn borrow(&self, owner: &HostId, request: BorrowRequest) -> Option<BorrowReply>;
 
-    /// Passes a shard's tokens on to its next owner.
+    /// Sends a shard's tokens to its next owner.
     async fn hand_over(&self, owner: &HostId, handover: Handover) -> Option<()>;
 
-    /// Tells of requests that crashed targets.
+    /// Reports requests that crashed targets.
     async fn report_crash(&self, address: &str, report: CrashReport) -> Option<()>;
 
-    /// Tells a steward that online work comes.
+    /// Notifies the batch owner of targets that online requests need them.
     async fn yield_targets(&self, address: &str, notice: YieldNotice) -> Option<()>;
 }
--- a/crates/cuminramp-daemon/src/lib.rs
+++ b/crates/cuminramp-daemon/src/lib.rs
@@ -1,13 +1,14 @@
 //! The daemon that runs on every entry host.
 //!
-//! It feeds the decision crates with events and carries their actions out:
+//! It passes events to the crates that decide, such as membership, quota and targets, and executes the
+//! actions that they return:
 //!
 //! - `entry` serves callers, `operator` serves operators and scrapers, `peer` serves other daemons;
-//! - `dispatch` takes a request from admission to its answer;
+//! - `dispatch` sends admitted requests to targets and relays their answers;
 //! - `sync` keeps declarations, shards and the list of hosts up to date;
-//! - `batch` works on jobs.
+//! - `batch` runs jobs.
 //!
-//! [`Daemon::start`] runs one; its borders to the platform, to targets and to peers are traits.
+//! [`Daemon::start`] starts one; its interfaces to the platform, to targets and to other daemons are traits.
 
 mod admission;
 mod batch;
