--- a/crates/cuminramp-daemon/src/daemon.rs
+++ b/crates/cuminramp-daemon/src/daemon.rs
@@ -27,8 +27,8 @@
 use crate::peer::{TarpcPeers, run_rhythm, serve_peers, spread_updates};
 use crate::state::{DaemonState, TableContact, lock};
 use crate::sync::{
-    ConfigurationStore, announce_host, follow_targets, give_back_shards, poll_generations,
-    poll_hosts, poll_loads, poll_shards, publish_withdrawals, tick_ledger,
+    ConfigurationStore, announce_host, hand_over_all_shards, poll_generations, poll_hosts,
+    poll_loads, poll_shards, publish_withdrawals, sync_targets, tick_ledger,
 };
 use crate::{entry, operator};
 
@@ -177,7 +177,7 @@
             announce_host(state).await;
         }
         spread_updates(state).await;
-        give_back_shards(state).await;
+        hand_over_all_shards(state).await;
         release_chunks(state).await;
         tokio::time::sleep(DRAIN_GRACE).await;
         self.drain_callers.cancel();
@@ -355,7 +355,7 @@
     spawn_loop(state, publish_withdrawals(state.clone()));
     spawn_loop(state, poll_shards(state.clone()));
     spawn_loop(state, tick_ledger(state.clone()));
-    spawn_loop(state, follow_targets(state.clone()));
+    spawn_loop(state, sync_targets(state.clone()));
     spawn_loop(state, poll_loads(state.clone()));
     spawn_loop(state, pump_queues(state.clone()));
     spawn_loop(state, run_marks(state.clone()));
--- a/crates/cuminramp-daemon/src/metrics.rs
+++ b/crates/cuminramp-daemon/src/metrics.rs
@@ -1,15 +1,15 @@
-//! Metrics, and the text that a scraper reads.
+//! Metrics of the daemon and their export in the Prometheus text format.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// Bounds of the buckets of times, in seconds.
+/// Upper bounds of the histogram buckets for durations, in seconds.
 const TIME_BOUNDS: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 0.78, 1.0, 2.0, 5.0, 10.0];
 
-/// The instruments of a daemon.
+/// Instruments of a daemon and the registry that they export to.
 pub(crate) struct DaemonMetrics {
     registry: Registry,
     _provider: SdkMeterProvider,
@@ -26,18 +26,18 @@
 }
 
 impl DaemonMetrics {
-    /// Instruments with a registry of their own.
+    /// Creates the instruments on a new registry, separate for each daemon in the process.
     pub(crate) fn new() -> Result<Self, Box<dyn std::error::Error + Send + Sync>> {
         let registry = Registry::new();
         let exporter =
             opentelemetry_prometheus::exporter().with_registry(registry.clone()).build()?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("cuminramp");
-        let counter = |name: &'static str, about: &'static str| {
-            meter.u64_counter(name).with_description(about).build()
+        let counter = |name: &'static str, description: &'static str| {
+            meter.u64_counter(name).with_description(description).build()
         };
-        let gauge = |name: &'static str, about: &'static str| {
-            meter.u64_gauge(name).with_description(about).build()
+        let gauge = |name: &'static str, description: &'static str| {
+            meter.u64_gauge(name).with_description(description).build()
         };
         Ok(DaemonMetrics {
             requests: counter("cuminramp.requests", "Requests of callers by route"),
@@ -88,13 +88,13 @@
         self.first_byte.record(seconds, &[]);
     }
 
-    pub(crate) fn note_state(&self, generation: u64, live_hosts: usize, owned_shards: usize) {
+    pub(crate) fn record_state(&self, generation: u64, live_hosts: usize, owned_shards: usize) {
         self.generation.record(generation, &[]);
         self.live_hosts.record(live_hosts as u64, &[]);
         self.owned_shards.record(owned_shards as u64, &[]);
     }
 
-    /// The text for a scraper.
+    /// Returns all metrics in the Prometheus text format; empty if they can't be encoded.
     pub(crate) fn render(&self) -> String {
         let mut text = Vec::new();
         if TextEncoder::new().encode(&self.registry.gather(), &mut text).is_err() {
--- a/crates/cuminramp-daemon/src/peer/server.rs
+++ b/crates/cuminramp-daemon/src/peer/server.rs
@@ -22,7 +22,7 @@
 use crate::peer::MAX_FRAME_BYTES;
 use crate::peer::rhythm::{answer_probe, probe_for_other};
 use crate::state::{DaemonState, lock};
-use crate::sync::answer_pull;
+use crate::sync::handle_pull;
 
 /// A connection on which no call came for so long is closed; its peer opens another when it needs to.
 const IDLE_LIMIT: Duration = Duration::from_secs(120);
@@ -43,7 +43,7 @@
     }
 
     async fn pull(self, _: Context, request: Encoded<PullRequest>) -> Encoded<PullReply> {
-        Encoded(answer_pull(&self.state, &request.0))
+        Encoded(handle_pull(&self.state, &request.0))
     }
 
     async fn borrow(self, _: Context, request: Encoded<BorrowRequest>) -> Encoded<BorrowReply> {
--- a/crates/cuminramp-daemon/src/sync/configuration.rs
+++ b/crates/cuminramp-daemon/src/sync/configuration.rs
@@ -1,4 +1,4 @@
-//! The generation in force on this host, and how it follows the table and other hosts.
+//! The configuration in force on this host, kept up to date from the table and from other hosts.
 
 use std::sync::{Arc, Mutex};
 
@@ -17,27 +17,29 @@
 use crate::state::{DaemonState, lock};
 use crate::sync::{HEAD_KEY, change_key, snapshot_name};
 
-/// Most change sets read from the table in one call.
-const MOST_CHANGES_READ: u64 = 256;
+/// Maximum number of change sets read from the table in one call.
+const MAX_CHANGES_PER_READ: u64 = 256;
 
-/// A generation with what is derived from it.
-pub(crate) struct InForce {
+/// A configuration and the route planner built from it.
+pub(crate) struct InForceConfiguration {
     pub(crate) configuration: Configuration,
     pub(crate) planner: RoutePlanner,
 }
 
-impl InForce {
+impl InForceConfiguration {
     fn new(configuration: Configuration) -> Self {
         let planner = RoutePlanner::new(&configuration);
-        InForce { configuration, planner }
+        InForceConfiguration { configuration, planner }
     }
 }
 
-/// The generation in force, the sets that led to it, and withdrawals ahead of the table.
+/// Holds the configuration in force, the log of the latest change sets, and the withdrawals that are in
+/// force here but not yet written to the table.
 pub(crate) struct ConfigurationStore {
-    in_force: ArcSwap<InForce>,
+    in_force: ArcSwap<InForceConfiguration>,
     withdrawals: ArcSwap<WithdrawalSet>,
-    /// Held by whoever changes what is in force, so that two changes never cross.
+    /// Also locked while `in_force` or `withdrawals` is replaced, so that of two concurrent updates neither
+    /// is lost.
     log: Mutex<GenerationLog>,
     changed: watch::Sender<u64>,
 }
@@ -45,14 +47,14 @@
 impl ConfigurationStore {
     pub(crate) fn new(log_generations: usize) -> Self {
         ConfigurationStore {
-            in_force: ArcSwap::from_pointee(InForce::new(Configuration::default())),
+            in_force: ArcSwap::from_pointee(InForceConfiguration::new(Configuration::default())),
             withdrawals: ArcSwap::from_pointee(WithdrawalSet::new()),
             log: Mutex::new(GenerationLog::new(log_generations)),
             changed: watch::channel(0).0,
         }
     }
 
-    pub(crate) fn in_force(&self) -> Arc<InForce> {
+    pub(crate) fn in_force(&self) -> Arc<InForceConfiguration> {
         self.in_force.load_full()
     }
 
@@ -64,65 +66,66 @@
         self.withdrawals.load_full()
     }
 
-    /// Wakes whenever the generation or the withdrawals change.
+    /// Returns a receiver that is notified when the generation or the withdrawals change.
     pub(crate) fn watch(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// The grant of a key that is neither unknown nor withdrawn.
+    /// Returns the grant of a key, or `None` if the key is unknown or withdrawn.
     pub(crate) fn find_key(&self, digest: &KeyDigest) -> Option<KeyGrant> {
         let in_force = self.in_force.load();
         let grant = in_force.configuration.find_key(digest)?;
         (!self.withdrawals.load().contains(digest)).then(|| grant.clone())
     }
 
-    /// Puts the set in force if it is the next one.
-    pub(crate) fn take_changes(&self, set: ChangeSet) -> bool {
+    /// Applies a change set if it belongs to the next generation; returns whether it did.
+    pub(crate) fn apply_changes(&self, set: ChangeSet) -> bool {
         let mut log = lock(&self.log);
         let Ok(next) = self.in_force.load().configuration.apply(&set) else {
             return false;
         };
         log.push(Arc::new(set));
-        self.put_in_force(next);
+        self.install(next);
         true
     }
 
-    /// Puts a snapshot in force if it is newer.
-    pub(crate) fn take_snapshot(&self, snapshot: &Snapshot) -> bool {
+    /// Applies a snapshot if it is newer than the configuration in force; returns whether it did.
+    pub(crate) fn apply_snapshot(&self, snapshot: &Snapshot) -> bool {
         let _log = lock(&self.log);
         if snapshot.generation <= self.generation() {
             return false;
         }
-        self.put_in_force(Configuration::from_snapshot(snapshot));
+        self.install(Configuration::from_snapshot(snapshot));
         true
     }
 
-    fn put_in_force(&self, configuration: Configuration) {
+    fn install(&self, configuration: Configuration) {
         let generation = configuration.generation;
         let mut withdrawals = WithdrawalSet::clone(&self.withdrawals.load());
         withdrawals.retain_unwritten(|digest| !configuration.keys.contains_key(digest));
-        self.in_force.store(Arc::new(InForce::new(configuration)));
+        self.in_force.store(Arc::new(InForceConfiguration::new(configuration)));
         self.withdrawals.store(Arc::new(withdrawals));
         self.changed.send_modify(|count| *count += 1);
         log::info!(generation = generation; "generation-in-force");
     }
 
-    /// Withdraws keys ahead of the table; says how many of them were news.
+    /// Withdraws keys on this host before the table lists them as withdrawn; returns how many of them were
+    /// not withdrawn yet. Ignores keys that the configuration lacks.
     pub(crate) fn withdraw(&self, digests: impl IntoIterator<Item = KeyDigest>) -> usize {
         let _log = lock(&self.log);
         let mut withdrawals = WithdrawalSet::clone(&self.withdrawals.load());
         let in_force = self.in_force.load();
         let known = digests.into_iter().filter(|key| in_force.configuration.keys.contains_key(key));
-        let news = known.filter(|digest| withdrawals.insert(*digest)).count();
-        if news > 0 {
+        let added = known.filter(|digest| withdrawals.insert(*digest)).count();
+        if added > 0 {
             self.withdrawals.store(Arc::new(withdrawals));
             self.changed.send_modify(|count| *count += 1);
-            log::info!(keys = news as u64; "keys-withdrawn");
+            log::info!(keys = added as u64; "keys-withdrawn");
         }
-        news
+        added
     }
 
-    fn catch_up(&self, after: u64) -> (Arc<InForce>, CatchUp) {
+    fn catch_up(&self, after: u64) -> (Arc<InForceConfiguration>, CatchUp) {
         let log = lock(&self.log);
         let in_force = self.in_force();
         let missing = log.catch_up(&in_force.configuration, after);
@@ -130,7 +133,7 @@
     }
 }
 
-/// What this host has in force, for a probe.
+/// Returns the digest of this host's versions that probes carry.
 pub(crate) fn version_digest(state: &DaemonState) -> VersionDigest {
     VersionDigest {
         generation: state.configuration.generation(),
@@ -140,7 +143,7 @@
     }
 }
 
-/// Asks the table for newer generations, again and again.
+/// Polls the table for newer generations.
 pub(crate) async fn poll_generations(state: Arc<DaemonState>) {
     loop {
         if let Err(error) = read_generations(&state).await {
@@ -150,18 +153,18 @@
     }
 }
 
-/// The row of the newest generation, with the version that a write compares.
+/// The head row, which names the newest generation, and its version for a compare-and-set write.
 #[derive(Default)]
 pub(crate) struct VersionedHead {
     pub(crate) row: HeadRow,
     pub(crate) version: Version,
 }
 
-/// Reads the row of the newest generation; one that is not there is generation 0.
+/// Reads the head row; a missing row stands for generation 0.
 pub(crate) async fn read_head(state: &DaemonState) -> Result<VersionedHead, StoreError> {
-    let asked_at = Instant::now();
+    let requested_at = Instant::now();
     let rows = state.platform.table.read(&[HEAD_KEY.to_owned()]).await?;
-    state.note_table(asked_at);
+    state.note_table(requested_at);
     let Some(found) = rows.into_iter().next().flatten() else {
         return Ok(VersionedHead::default());
     };
@@ -169,30 +172,30 @@
     Ok(VersionedHead { row, version: found.version })
 }
 
-/// Brings this host up to the table's generation, and returns the row that names it.
+/// Brings this host up to the table's newest generation, and returns the head row.
 pub(crate) async fn read_generations(state: &DaemonState) -> Result<VersionedHead, StoreError> {
     let head = read_head(state).await?;
     if head.row.generation > state.configuration.generation() {
-        read_missing(state, &head.row).await?;
+        read_missing_generations(state, &head.row).await?;
     }
     Ok(head)
 }
 
-async fn read_missing(state: &DaemonState, head: &HeadRow) -> Result<(), StoreError> {
+async fn read_missing_generations(state: &DaemonState, head: &HeadRow) -> Result<(), StoreError> {
     if head.snapshot > state.configuration.generation() {
         let object = state.platform.objects.get(&snapshot_name(head.snapshot)).await?;
         let snapshot = object.and_then(|bytes| decode_row::<Snapshot>(&bytes).ok());
         if let Some(snapshot) = snapshot {
-            state.configuration.take_snapshot(&snapshot);
+            state.configuration.apply_snapshot(&snapshot);
         }
     }
     let mut next = state.configuration.generation() + 1;
     while next <= head.generation {
-        let last = head.generation.min(next + MOST_CHANGES_READ - 1);
+        let last = head.generation.min(next + MAX_CHANGES_PER_READ - 1);
         let keys: Vec<String> = (next..=last).map(change_key).collect();
         for row in state.platform.table.read(&keys).await?.into_iter().flatten() {
             if let Ok(set) = decode_row::<ChangeSet>(&row.value) {
-                state.configuration.take_changes(set);
+                state.configuration.apply_changes(set);
             }
         }
         next = last + 1;
@@ -200,9 +203,9 @@
     Ok(())
 }
 
-/// Answers a host that lacks something.
-pub(crate) fn answer_pull(state: &DaemonState, request: &PullRequest) -> PullReply {
-    take_withdrawals(state, &request.withdrawals);
+/// Handles a pull request: records its withdrawals and returns what the requesting host lacks.
+pub(crate) fn handle_pull(state: &DaemonState, request: &PullRequest) -> PullReply {
+    record_withdrawals(state, &request.withdrawals);
     let (in_force, missing) = state.configuration.catch_up(request.after_generation);
     let mut reply = PullReply {
         generation: in_force.configuration.generation,
@@ -223,7 +226,7 @@
     reply
 }
 
-/// The pull request that says what this host has.
+/// Returns a pull request for all that this host lacks.
 pub(crate) fn pull_request(state: &DaemonState, want_shards: bool) -> PullRequest {
     PullRequest {
         after_generation: state.configuration.generation(),
@@ -232,19 +235,19 @@
     }
 }
 
-/// Takes in what another host sent.
+/// Applies the reply to a pull request.
 pub(crate) fn merge_pull(state: &DaemonState, reply: &PullReply) {
     if !reply.snapshot.is_empty()
         && let Ok(snapshot) = decode_row::<Snapshot>(&reply.snapshot)
     {
-        state.configuration.take_snapshot(&snapshot);
+        state.configuration.apply_snapshot(&snapshot);
     }
     for bytes in &reply.changes {
         if let Ok(set) = decode_row::<ChangeSet>(bytes) {
-            state.configuration.take_changes(set);
+            state.configuration.apply_changes(set);
         }
     }
-    take_withdrawals(state, &reply.withdrawals);
+    record_withdrawals(state, &reply.withdrawals);
     let now = Instant::now();
     let mut ledger = lock(&state.ledger);
     for bytes in &reply.shards {
@@ -259,7 +262,7 @@
     withdrawals.digests().iter().map(|digest| digest.as_bytes().to_vec()).collect()
 }
 
-fn take_withdrawals(state: &DaemonState, bytes: &[Vec<u8>]) {
+fn record_withdrawals(state: &DaemonState, bytes: &[Vec<u8>]) {
     let digests = bytes.iter().filter_map(|bytes| KeyDigest::from_bytes(bytes));
     state.configuration.withdraw(digests);
 }
--- a/crates/cuminramp-daemon/src/sync/hosts.rs
+++ b/crates/cuminramp-daemon/src/sync/hosts.rs
@@ -9,7 +9,7 @@
 
 use crate::state::{DaemonState, lock};
 
-/// Announces this host and reads the list, again and again.
+/// Polls the platform's host list, and announces this host to it if the settings ask for that.
 pub(crate) async fn poll_hosts(state: Arc<DaemonState>) {
     loop {
         if state.settings.platform.announce {
@@ -35,7 +35,7 @@
     lock(&state.members).on_list(&hosts, Instant::now());
 }
 
-/// Tells the platform that this host stands, or that it is leaving.
+/// Announces this host to the platform as running or leaving.
 pub(crate) async fn announce_host(state: &DaemonState) {
     let leaving = lock(&state.members).is_leaving();
     let entry = HostEntry { address: Name::clone(&state.me.id.address), leaving };
--- a/crates/cuminramp-daemon/src/sync/publisher.rs
+++ b/crates/cuminramp-daemon/src/sync/publisher.rs
@@ -1,4 +1,4 @@
-//! Writes a new generation.
+//! Publishes new generations to the table.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,36 +15,37 @@
 use crate::sync::configuration::{VersionedHead, read_generations, read_head};
 use crate::sync::{HEAD_KEY, change_key, snapshot_name};
 
-/// How often a write whose answer was lost is read back.
-const SETTLE_TRIES: u32 = 20;
-/// Waits between those tries.
-const SETTLE_PAUSE: Duration = Duration::from_millis(250);
-/// How often withdrawals that the table lacks are written again.
-const WITHDRAWAL_PAUSE: Duration = Duration::from_secs(1);
+/// Maximum number of attempts to read back a write whose response was lost.
+const MAX_READ_BACK_ATTEMPTS: u32 = 20;
+/// Interval between attempts to read back a write.
+const READ_BACK_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between attempts to write withdrawals that the table lacks.
+const WITHDRAWAL_WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a change was not accepted.
 #[derive(Clone, Debug)]
 pub(crate) enum PublishError {
-    /// Another generation is in force than the one the change was made for.
+    /// The change was based on a generation that is not the newest one.
     Conflict {
-        /// The one in force.
+        /// The generation in force.
         generation: u64,
-        /// What the change would alter of it, as the operators' interface shows changes.
+        /// Changes that the rejected change would make to it, in the format of the operator API.
         difference: Vec<Value>,
     },
-    /// The result would be wrong.
+    /// The resulting configuration would be invalid.
     Invalid(Vec<DeclarationError>),
-    /// The table can't be reached; nothing was written.
+    /// The table is unreachable; nothing was written.
     Unavailable(String),
-    /// The table did not say whether it took the change, and can't be asked.
+    /// Outcome unknown: the response to the write was lost, and reading it back did not settle whether the
+    /// change was written.
     Unknown(String),
 }
 
 /// Writes `changes` as the generation after `expected`, and puts it in force here.
 ///
-/// The row of the newest generation is compared and set together with the row of the change, so of
-/// two operators one gets a conflict. Where the answer is lost, the row is read back: it holds the
-/// mark of the writer that won.
+/// One transaction writes the head row, by compare-and-set, and the row of the change set, so of two
+/// concurrent operators one gets a conflict. If the response is lost, the row of the change set is read
+/// back: it holds the id of the writer that won.
 pub(crate) async fn publish_changes(
     state: &Arc<DaemonState>,
     expected: u64,
@@ -65,12 +66,12 @@
     );
     match state.platform.table.commit(transaction).await {
         Ok(CommitOutcome::Committed(_)) => {}
-        Ok(CommitOutcome::Conflict(_)) => return Err(conflict_now(state).await),
+        Ok(CommitOutcome::Conflict(_)) => return Err(latest_conflict(state).await),
         Err(StoreError::Unavailable(reason)) => return Err(PublishError::Unavailable(reason)),
-        Err(StoreError::Unknown(_)) => settle_unknown(state, &set).await?,
+        Err(StoreError::Unknown(_)) => resolve_unknown_outcome(state, &set).await?,
     }
     let generation = set.generation;
-    if !state.configuration.take_changes(set) {
+    if !state.configuration.apply_changes(set) {
         read_generations(state).await.map_err(|error| PublishError::Unknown(error.to_string()))?;
     }
     log::info!(generation = generation, decision = "accepted"; "generation");
@@ -91,37 +92,41 @@
             difference: Vec::new(),
         });
     };
-    let faults = next.check();
-    if faults.is_empty() { Ok(()) } else { Err(PublishError::Invalid(faults)) }
+    let errors = next.check();
+    if errors.is_empty() { Ok(()) } else { Err(PublishError::Invalid(errors)) }
 }
 
-async fn conflict_now(state: &DaemonState) -> PublishError {
+/// Returns a conflict with the newest generation, as far as the table can be read.
+async fn latest_conflict(state: &DaemonState) -> PublishError {
     let _ = read_generations(state).await;
     PublishError::Conflict { generation: state.configuration.generation(), difference: Vec::new() }
 }
 
-/// Finds out whether a write whose answer was lost took effect.
-async fn settle_unknown(state: &DaemonState, set: &ChangeSet) -> Result<(), PublishError> {
+/// Determines by reading back whether a write whose response was lost took effect.
+async fn resolve_unknown_outcome(state: &DaemonState, set: &ChangeSet) -> Result<(), PublishError> {
     let key = change_key(set.generation);
-    for _ in 0..SETTLE_TRIES {
+    for _ in 0..MAX_READ_BACK_ATTEMPTS {
         if let Ok(rows) = state.platform.table.read(std::slice::from_ref(&key)).await {
             let row = rows.into_iter().next().flatten();
             let written = row.and_then(|row| decode_row::<ChangeSet>(&row.value).ok());
             return match written {
                 Some(written) if written.writer == set.writer => Ok(()),
-                Some(_) => Err(conflict_now(state).await),
-                // It may still be on its way.
+                Some(_) => Err(latest_conflict(state).await),
+                // The write may still be in flight.
                 None => {
-                    Err(PublishError::Unknown("the table has not taken the write so far".into()))
+                    Err(PublishError::Unknown("the table has not applied the write so far".into()))
                 }
             };
         }
-        tokio::time::sleep(SETTLE_PAUSE).await;
+        tokio::time::sleep(READ_BACK_INTERVAL).await;
     }
-    Err(PublishError::Unknown("the table can't be asked whether it took the write".into()))
+    Err(PublishError::Unknown(
+        "the table is unreachable, so the outcome of the write is unknown".into(),
+    ))
 }
 
-/// Now and then writes everything in force as one object, so that a host that starts reads little.
+/// Writes the full configuration as one object, every `snapshot_every` generations, so that a starting
+/// host reads one snapshot and few change sets.
 fn write_snapshot(state: &Arc<DaemonState>, generation: u64) {
     if !generation.is_multiple_of(state.settings.configuration.snapshot_every) {
         return;
@@ -135,13 +140,14 @@
         if state.platform.objects.put(&snapshot_name(generation), body).await.is_err() {
             return;
         }
-        if let Err(error) = point_to_snapshot(&state, generation).await {
+        if let Err(error) = update_head_snapshot(&state, generation).await {
             log::warn!(generation = generation, reason = error.to_string().as_str(); "snapshot");
         }
     });
 }
 
-async fn point_to_snapshot(state: &DaemonState, generation: u64) -> Result<(), StoreError> {
+/// Names the snapshot in the head row, unless the row already names a newer one.
+async fn update_head_snapshot(state: &DaemonState, generation: u64) -> Result<(), StoreError> {
     let VersionedHead { row: head, version } = read_head(state).await?;
     if head.generation == 0 || head.snapshot >= generation {
         return Ok(());
@@ -151,16 +157,16 @@
     state.platform.table.commit(transaction).await.map(drop)
 }
 
-/// Writes withdrawals that went ahead of the table, again and again until it has them.
+/// Writes the withdrawals that the table lacks, and retries until it has them.
 pub(crate) async fn publish_withdrawals(state: Arc<DaemonState>) {
     loop {
-        tokio::time::sleep(WITHDRAWAL_PAUSE).await;
-        let waiting = state.configuration.withdrawals();
-        if waiting.digests().is_empty() {
+        tokio::time::sleep(WITHDRAWAL_WRITE_INTERVAL).await;
+        let pending = state.configuration.withdrawals();
+        if pending.digests().is_empty() {
             continue;
         }
         let entries =
-            waiting.digests().iter().map(|key| Entry::WithdrawnKey(key.as_bytes().to_vec()));
+            pending.digests().iter().map(|key| Entry::WithdrawnKey(key.as_bytes().to_vec()));
         let changes = entries.map(|entry| Change { entry: Some(entry) }).collect();
         let expected = state.configuration.generation();
         if let Err(error) = publish_changes(&state, expected, changes).await {
--- a/crates/cuminramp-daemon/src/sync/shards.rs
+++ b/crates/cuminramp-daemon/src/sync/shards.rs
@@ -1,4 +1,5 @@
-//! Ownership of shards in the table.
+//! Keeps the ownership of shards in the table: claims free shards and hands over those meant for other
+//! hosts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,47 +18,49 @@
 use crate::state::{DaemonState, lock};
 use crate::sync::shard_key;
 
-/// How often the ledger looks at the clock, so that it notices when the process was paused.
-const TICK: Duration = Duration::from_millis(100);
-/// The whole map is read once in so many polls even if nothing seems to be left to do.
-const POLLS_PER_READ: u32 = 10;
-/// Rows read in one call.
-const SCAN_LIMIT: usize = 1_024;
-/// Shards claimed in one write.
-const CLAIMS_PER_WRITE: usize = 64;
-/// A new host waits for so many reads of the host list before it claims anything: hosts that start
-/// together would otherwise each take themselves for the only one, and then move shards for minutes.
-const LIST_READS_FIRST: u32 = 2;
-
-/// A shard's row with the version that a write compares.
+/// Interval between ticks of the ledger, which detects from their timing that the process was paused.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of polls from one read of the shard map to the next, even if there seems to be nothing
+/// to claim or to hand over.
+const MAX_POLLS_PER_READ: u32 = 10;
+/// Maximum number of rows read in one scan.
+const MAX_SCAN_ROWS: usize = 1_024;
+/// Maximum number of shards claimed or handed over in one write.
+const MAX_MOVES_PER_WRITE: usize = 64;
+/// Number of host list polls that a new host waits for before it claims shards. Hosts that start together
+/// would otherwise each act as the only host, claim all shards, and then move them for minutes.
+const LIST_POLLS_BEFORE_CLAIM: u32 = 2;
+
+/// A shard's row and its version for a compare-and-set write.
 struct VersionedShard {
     row: ShardRow,
     version: Version,
 }
 
-/// Lets the ledger notice pauses and forget teams.
+/// Ticks the ledger, which detects pauses of the process and drops the buckets of unused teams.
 pub(crate) async fn tick_ledger(state: Arc<DaemonState>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         let now = Instant::now();
         let confirmed = state.may_spend(now);
         let mut ledger = lock(&state.ledger);
         let outcome = ledger.tick(confirmed, now);
         drop(ledger);
         if outcome == TickOutcome::Lost {
-            renew_run(&state, confirmed, now);
+            renew_incarnation(&state, confirmed, now);
         }
         let mut ledger = lock(&state.ledger);
         ledger.forget_unused(now);
         let owned = ledger.shards().owned_count();
         drop(ledger);
         let live = lock(&state.members).usable_hosts().len();
-        state.metrics.note_state(state.configuration.generation(), live, owned);
+        state.metrics.record_state(state.configuration.generation(), live, owned);
     }
 }
 
-/// Goes on as a new run, as a restart would, but with its requests.
-fn renew_run(state: &DaemonState, confirmed: bool, now: Instant) {
+/// Continues under a new incarnation that owns no shards, as after a restart, but keeps the requests in
+/// flight.
+fn renew_incarnation(state: &DaemonState, confirmed: bool, now: Instant) {
     let mut members = lock(&state.members);
     let incarnation = new_incarnation().max(members.me().id.incarnation + 1);
     members.renew(incarnation, now);
@@ -67,13 +70,13 @@
     log::warn!(host = &*state.me.id.address, incarnation = incarnation, decision = "renewed"; "run");
 }
 
-/// Reads, claims and moves shards, again and again.
+/// Polls the shard map, claims free shards and hands over those meant for other hosts.
 pub(crate) async fn poll_shards(state: Arc<DaemonState>) {
-    tokio::time::sleep(state.settings.peers.list_poll() * LIST_READS_FIRST).await;
+    tokio::time::sleep(state.settings.peers.list_poll() * LIST_POLLS_BEFORE_CLAIM).await;
     let mut polls_until_read = 0;
     loop {
         if polls_until_read == 0 || has_work(&state) {
-            polls_until_read = POLLS_PER_READ;
+            polls_until_read = MAX_POLLS_PER_READ;
             if let Ok(rows) = read_shards(&state).await
                 && !lock(&state.ledger).is_unreliable()
             {
@@ -86,27 +89,27 @@
     }
 }
 
-/// Whether, as far as this host knows from others, there is something to claim or to give away. The
-/// whole map is then read before anything is written; otherwise reading it is seldom needed, since
-/// news of it spreads with probes.
+/// Whether there are shards to claim or to hand over, by this host's copy of the shard map. If so, the
+/// full map is read before anything is written; otherwise it is seldom read, since digests in probes let
+/// hosts detect and pull changes of it.
 fn has_work(state: &DaemonState) -> bool {
-    let hosts = staying_hosts(state);
+    let hosts = usable_hosts(state);
     !plan_claims(state, &hosts).is_empty() || lock(&state.ledger).shards().has_moves(&hosts)
 }
 
 async fn read_shards(state: &DaemonState) -> Result<Vec<VersionedShard>, StoreError> {
-    let asked_at = Instant::now();
+    let requested_at = Instant::now();
     let mut rows: Vec<Row> = Vec::new();
     loop {
         let after = rows.last().map(|row| row.key.clone()).unwrap_or_default();
-        let page = state.platform.table.scan("shard/", &after, SCAN_LIMIT).await?;
-        let full = page.len() == SCAN_LIMIT;
+        let page = state.platform.table.scan("shard/", &after, MAX_SCAN_ROWS).await?;
+        let full = page.len() == MAX_SCAN_ROWS;
         rows.extend(page);
         if !full {
             break;
         }
     }
-    state.note_table(asked_at);
+    state.note_table(requested_at);
     let rows = rows.into_iter().filter_map(|row| {
         Some(VersionedShard { row: decode_row(&row.value).ok()?, version: row.version })
     });
@@ -119,18 +122,18 @@
     Ok(rows)
 }
 
-fn staying_hosts(state: &DaemonState) -> Vec<Host> {
+fn usable_hosts(state: &DaemonState) -> Vec<Host> {
     lock(&state.members).usable_hosts()
 }
 
 async fn claim_shards(state: &Arc<DaemonState>, rows: &[VersionedShard]) {
-    let moves = plan_claims(state, &staying_hosts(state));
-    for group in moves.chunks(CLAIMS_PER_WRITE) {
+    let moves = plan_claims(state, &usable_hosts(state));
+    for group in moves.chunks(MAX_MOVES_PER_WRITE) {
         write_moves(state, rows, group).await;
     }
 }
 
-/// Shards that this host should claim, as far as it knows.
+/// Returns the shards that this host should claim, by its copy of the shard map.
 fn plan_claims(state: &DaemonState, hosts: &[Host]) -> Vec<ShardMove> {
     let now = Instant::now();
     let members = lock(&state.members);
@@ -139,59 +142,60 @@
     }
     let ledger = lock(&state.ledger);
     let lease = state.settings.quota.lease() * 2;
-    let leases = state.settings.quota.policy == QuotaPolicy::ExpiringLease;
+    let has_leases = state.settings.quota.policy == QuotaPolicy::ExpiringLease;
     let is_free = |owner: &HostId| {
-        members.is_surely_dead(owner, now) || (leases && members.is_gone(owner, lease, now))
+        members.is_surely_dead(owner, now) || (has_leases && members.is_gone(owner, lease, now))
     };
     ledger.shards().plan_claims(hosts, is_free)
 }
 
 async fn move_shards(state: &Arc<DaemonState>, rows: &[VersionedShard]) {
-    let hosts = staying_hosts(state);
-    let most = state.settings.quota.moves_per_poll;
-    let moves = release(state, &hosts, most);
+    let hosts = usable_hosts(state);
+    let max_moves = state.settings.quota.moves_per_poll;
+    let moves = release_moves(state, &hosts, max_moves);
     write_moves(state, rows, &moves).await;
 }
 
-fn release(state: &DaemonState, hosts: &[Host], most: usize) -> Vec<ShardMove> {
-    lock(&state.ledger).shards_mut().release_moves(hosts, most)
+fn release_moves(state: &DaemonState, hosts: &[Host], max_moves: usize) -> Vec<ShardMove> {
+    lock(&state.ledger).shards_mut().release_moves(hosts, max_moves)
 }
 
-/// Gives all shards to the hosts that stay, as a host that leaves does.
-pub(crate) async fn give_back_shards(state: &Arc<DaemonState>) {
+/// Hands over all shards of this host, which is leaving, to the hosts that stay.
+pub(crate) async fn hand_over_all_shards(state: &Arc<DaemonState>) {
     let Ok(rows) = read_shards(state).await else {
         return;
     };
-    let hosts = staying_hosts(state);
-    let moves = release(state, &hosts, usize::MAX);
-    for group in moves.chunks(CLAIMS_PER_WRITE) {
+    let hosts = usable_hosts(state);
+    let moves = release_moves(state, &hosts, usize::MAX);
+    for group in moves.chunks(MAX_MOVES_PER_WRITE) {
         write_moves(state, &rows, group).await;
     }
     spread_updates(state).await;
 }
 
-/// Writes changes of ownership in one transaction, and one by one where that meets a conflict. What
-/// took effect is learnt by reading it back, so a lost answer needs no care of its own.
+/// Writes changes of ownership in one transaction, or one by one if that conflicts. The shard map is read
+/// back afterwards to see which writes took effect, so a lost response needs no handling of its own.
 async fn write_moves(state: &Arc<DaemonState>, rows: &[VersionedShard], moves: &[ShardMove]) {
     if moves.is_empty() {
         return;
     }
-    let wanted: Vec<(&ShardMove, Version)> = moves
+    let current_moves: Vec<(&ShardMove, Version)> = moves
         .iter()
         .filter_map(|change| {
-            let known = rows.iter().find(|shard| shard.row.shard == change.shard);
-            let epoch = known.map_or(0, |shard| shard.row.epoch);
-            (epoch == change.from_epoch).then_some((change, known.map_or(0, |shard| shard.version)))
+            let current = rows.iter().find(|shard| shard.row.shard == change.shard);
+            let epoch = current.map_or(0, |shard| shard.row.epoch);
+            (epoch == change.from_epoch)
+                .then_some((change, current.map_or(0, |shard| shard.version)))
         })
         .collect();
     let put = |transaction: Transaction, (change, version): &(&ShardMove, Version)| {
         transaction.put_at(shard_key(change.shard), *version, encode_row(&change.to_row()))
     };
     let handovers = collect_handovers(state, moves);
-    let all = wanted.iter().fold(Transaction::default(), put);
+    let all = current_moves.iter().fold(Transaction::default(), put);
     let outcome = state.platform.table.commit(all).await;
     if matches!(outcome, Ok(cuminramp_platform::CommitOutcome::Conflict(_))) {
-        for change in &wanted {
+        for change in &current_moves {
             let _ = state.platform.table.commit(put(Transaction::default(), change)).await;
         }
     }
@@ -206,19 +210,19 @@
     spread_updates(state).await;
 }
 
-/// A shard that is given away, and what goes with it.
+/// A shard to hand over, and the message for its next owner.
 struct PreparedHandover {
     change: ShardMove,
     handover: Handover,
 }
 
-/// What goes with own shards that are given away; claims take nothing along.
+/// Collects the handovers for own shards that move to other hosts; claims need none.
 fn collect_handovers(state: &DaemonState, moves: &[ShardMove]) -> Vec<PreparedHandover> {
     let now = Instant::now();
     let mut ledger = lock(&state.ledger);
     let me = ledger.shards().me().clone();
-    let given = moves.iter().filter(|change| change.owner != me);
-    given
+    let outgoing = moves.iter().filter(|change| change.owner != me);
+    outgoing
         .filter_map(|change| {
             let handover = ledger.collect_handover(change, now)?;
             Some(PreparedHandover { change: change.clone(), handover })
@@ -226,7 +230,8 @@
         .collect()
 }
 
-/// Sends tokens after the row says whose they are. Lost on the way they are nobody's.
+/// Sends each handover after the shard's row names the new owner. Tokens of a lost handover belong to no
+/// host, so they can't be spent twice.
 async fn send_handovers(state: &Arc<DaemonState>, prepared: Vec<PreparedHandover>) {
     let mut calls = tokio::task::JoinSet::new();
     for PreparedHandover { change, handover } in prepared {
--- a/crates/cuminramp-daemon/src/sync/targets.rs
+++ b/crates/cuminramp-daemon/src/sync/targets.rs
@@ -1,4 +1,4 @@
-//! Targets of the generation in force, and the load that engines report.
+//! Keeps the target table in line with the configuration in force, and polls the load of engines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use crate::interfaces::TargetRequest;
 use crate::state::{DaemonState, lock};
 
-/// The largest load report that is read.
-const MOST_REPORT_BYTES: usize = 64 << 10;
-/// A report takes no longer; an engine that is slower to say how it is counts as silent.
-const REPORT_LIMIT: Duration = Duration::from_secs(1);
-/// Reports in a row that may be missing.
-const MOST_MISSING: u32 = 2;
+/// Maximum size of a load report in bytes; a larger one is ignored.
+const MAX_REPORT_BYTES: usize = 64 << 10;
+/// Timeout of a load report, after which it counts as missed.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Number of consecutive missed load reports after which an engine is ejected as silent.
+const MISSED_REPORT_LIMIT: u32 = 2;
 
-/// What an engine says of its load.
+/// Body of an engine's load report.
 #[derive(Deserialize)]
 struct LoadBody {
     running: u32,
@@ -32,8 +32,8 @@
     age_ms: u64,
 }
 
-/// Tells the choice of targets which there are, whenever that changes.
-pub(crate) async fn follow_targets(state: Arc<DaemonState>) {
+/// Sets the targets of the target table, now and whenever the configuration changes.
+pub(crate) async fn sync_targets(state: Arc<DaemonState>) {
     let mut changes = state.configuration.watch();
     loop {
         let in_force = state.configuration.in_force();
@@ -46,26 +46,26 @@
     }
 }
 
-/// Asks engines for their load, again and again.
+/// Polls the load of all engines.
 pub(crate) async fn poll_loads(state: Arc<DaemonState>) {
-    let pause = state.settings.targets.load_poll();
-    if pause.is_zero() {
+    let interval = state.settings.targets.load_poll();
+    if interval.is_zero() {
         return;
     }
-    let mut missing: cuminramp_core::SortedMap<Name, u32> = cuminramp_core::SortedMap::new();
+    let mut missed: cuminramp_core::SortedMap<Name, u32> = cuminramp_core::SortedMap::new();
     loop {
-        let mut asked = tokio::task::JoinSet::new();
+        let mut polls = tokio::task::JoinSet::new();
         for target in engines(&state) {
             let state = state.clone();
-            asked.spawn(async move {
-                let heard = poll_load(&state, &target).await;
-                (target, heard)
+            polls.spawn(async move {
+                let answered = poll_load(&state, &target).await;
+                (target, answered)
             });
         }
-        while let Some(Ok((target, heard))) = asked.join_next().await {
-            note_report(&state, &mut missing, &target, heard);
+        while let Some(Ok((target, answered))) = polls.join_next().await {
+            record_poll(&state, &mut missed, &target, answered);
         }
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
@@ -76,17 +76,18 @@
     engines.flat_map(|pool| pool.targets.iter().cloned()).collect()
 }
 
-/// An engine that answers nobody holds requests until they time out; that it does not even say how
-/// it is shows it sooner.
-fn note_report(
+/// Records whether an engine answered a poll, and reports the engine as silent after
+/// `MISSED_REPORT_LIMIT` misses in a row. Without this, an engine that stopped answering would be
+/// detected only when its requests time out.
+fn record_poll(
     state: &DaemonState,
-    missing: &mut cuminramp_core::SortedMap<Name, u32>,
+    missed: &mut cuminramp_core::SortedMap<Name, u32>,
     target: &Target,
-    heard: bool,
+    answered: bool,
 ) {
-    let count = missing.get_or_insert_with(target.name.clone(), || 0);
-    *count = if heard { 0 } else { *count + 1 };
-    if *count < MOST_MISSING {
+    let count = missed.get_or_insert_with(target.name.clone(), || 0);
+    *count = if answered { 0 } else { *count + 1 };
+    if *count < MISSED_REPORT_LIMIT {
         return;
     }
     *count = 0;
@@ -98,40 +99,40 @@
     }
 }
 
-/// Asks one engine; says whether it answered. An engine that answers without a report, since it has
-/// none at this path, lives all the same: taken for silent, every engine of its kind would be set aside.
+/// Polls one engine; returns whether it answered. An engine that answers without a report, as one without
+/// load reports at this path does, counts as alive: otherwise all engines of its kind would be ejected.
 async fn poll_load(state: &DaemonState, target: &Target) -> bool {
-    let asked_at = Instant::now();
-    let asked = tokio::time::timeout(REPORT_LIMIT, read_answer(state, target)).await;
-    let Ok(Some(answer)) = asked else { return false };
+    let requested_at = Instant::now();
+    let outcome = tokio::time::timeout(REPORT_TIMEOUT, fetch_report(state, target)).await;
+    let Ok(Some(answer)) = outcome else { return false };
     if let Ok(body) = serde_json::from_slice::<LoadBody>(&answer) {
         let age = Duration::from_millis(body.age_ms);
-        let at = asked_at.checked_sub(age).unwrap_or(asked_at);
+        let at = requested_at.checked_sub(age).unwrap_or(requested_at);
         let report = LoadSnapshot { requests: body.running + body.waiting, at };
         lock(&state.targets).on_report(&target.name, report);
     }
     true
 }
 
-/// The body of an engine's answer, empty where it says that it has no report; `None` where no answer
-/// came.
-async fn read_answer(state: &DaemonState, target: &Target) -> Option<Bytes> {
+/// Returns the body of an engine's answer, empty if the answer holds no usable report, or `None` if no
+/// answer arrived.
+async fn fetch_report(state: &DaemonState, target: &Target) -> Option<Bytes> {
     let request = TargetRequest {
         method: Method::GET,
         path: state.settings.targets.load_path.clone(),
         headers: HeaderMap::new(),
         body: Bytes::new(),
     };
-    let mut answer = state.caller.call(&target.address, request, REPORT_LIMIT).await.ok()?;
+    let mut answer = state.caller.call(&target.address, request, REPORT_TIMEOUT).await.ok()?;
     if !answer.status.is_success() {
         return Some(Bytes::new());
     }
-    let mut whole = BytesMut::new();
+    let mut body = BytesMut::new();
     while let Some(part) = answer.body.next().await {
-        whole.extend_from_slice(&part.ok()?);
-        if whole.len() > MOST_REPORT_BYTES {
+        body.extend_from_slice(&part.ok()?);
+        if body.len() > MAX_REPORT_BYTES {
             return Some(Bytes::new());
         }
     }
-    Some(whole.freeze())
+    Some(body.freeze())
 }
