--- a/crates/cuminramp-daemon/src/daemon.rs
+++ b/crates/cuminramp-daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A running daemon.
+//! Starts, drains and stops a daemon.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 use crate::interfaces::PlatformInterfaces;
 use crate::marks::{MarkWriter, run_marks};
 use crate::metrics::DaemonMetrics;
-use crate::peer::{TarpcPeers, run_rhythm, serve_peers, spread_updates};
+use crate::peer::{TarpcPeers, run_probes, serve_peers, spread_updates};
 use crate::state::{DaemonState, TableContact, lock};
 use crate::sync::{
     ConfigurationStore, announce_host, hand_over_all_shards, poll_generations, poll_hosts,
@@ -32,26 +32,28 @@
 };
 use crate::{entry, operator};
 
-/// Connections of operators and scrapers at once.
-const OPERATOR_CONNECTIONS: usize = 256;
-/// A host doubts what it owns after this part of the time after which others may take it over.
-const PAUSE_SHARE: u32 = 4;
-/// Steering answers are kept for a while, so a host that leaves serves new callers a little longer.
-const DRAIN_GRACE: Duration = Duration::from_secs(1);
+/// Maximum number of concurrent connections of operators and scrapers.
+const MAX_OPERATOR_CONNECTIONS: usize = 256;
+/// Divisor of the host list's lag, after which other hosts may take over the shards of a silent one: a host
+/// that was paused for longer than the quotient no longer trusts its ownership of shards.
+const PAUSE_LIMIT_DIVISOR: u32 = 4;
+/// Delay for which a leaving host still accepts new callers, since clients cache steering answers that name
+/// it.
+const DRAIN_DELAY: Duration = Duration::from_secs(1);
 
-/// Why a daemon did not start.
+/// Error that prevents a daemon from starting.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// The daemon can't listen on an address.
     Listen {
-        /// The setting.
+        /// Name of the setting that holds the address.
         setting: &'static str,
-        /// The address.
+        /// The address, empty if the bound address can't be read.
         address: String,
-        /// Why.
+        /// The underlying I/O error.
         source: std::io::Error,
     },
-    /// The metrics can't be set up.
+    /// The metrics registry can't be set up.
     Metrics(String),
 }
 
@@ -71,7 +73,7 @@
 
 impl std::error::Error for StartError {}
 
-/// Where a daemon listens.
+/// Addresses that a daemon listens on.
 #[derive(Clone, Copy, Debug)]
 pub struct DaemonAddresses {
     /// For callers.
@@ -88,7 +90,7 @@
     peer: TcpListener,
 }
 
-/// A running daemon.
+/// Handle to a running daemon.
 pub struct Daemon {
     state: Arc<DaemonState>,
     addresses: DaemonAddresses,
@@ -111,13 +113,14 @@
     bound.local_addr().map(|address| address.to_string()).unwrap_or_default().into()
 }
 
-/// The number of this run: later runs on a host have higher ones.
+/// Returns a number for a new incarnation of this host, higher than that of earlier ones as long as the
+/// clock was not set back.
 pub(crate) fn new_incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |passed| passed.as_micros() as u64)
 }
 
 impl Daemon {
-    /// Starts a daemon whose platform is where the settings say.
+    /// Starts a daemon on the platform at the address in the settings.
     pub async fn start(settings: DaemonSettings) -> Result<Self, StartError> {
         let platform =
             Arc::new(HttpPlatform::new(&settings.platform.address, settings.platform.timeout()));
@@ -161,13 +164,13 @@
         Ok(Daemon { state, addresses, drain_callers, callers })
     }
 
-    /// Where it listens.
+    /// Returns the addresses that the daemon listens on.
     pub fn addresses(&self) -> DaemonAddresses {
         self.addresses
     }
 
-    /// Leaves: vanishes from steering answers, finishes what it has, gives back shards and chunks,
-    /// and stops.
+    /// Drains and stops the daemon: removes it from steering answers, hands over its shards, releases its
+    /// chunks, and lets requests in flight finish within the drain timeout.
     pub async fn leave(self) {
         let state = &self.state;
         log::info!(host = &*state.me.id.address, decision = "leaving"; "drain");
@@ -179,21 +182,21 @@
         spread_updates(state).await;
         hand_over_all_shards(state).await;
         release_chunks(state).await;
-        tokio::time::sleep(DRAIN_GRACE).await;
+        tokio::time::sleep(DRAIN_DELAY).await;
         self.drain_callers.cancel();
-        let limit = state.settings.limits.drain_timeout();
+        let timeout = state.settings.limits.drain_timeout();
         let mut callers = self.callers;
         state.tasks.close();
         let finished = async {
             let _ = (&mut callers).await;
             state.tasks.wait().await;
         };
-        let whole = tokio::time::timeout(limit, finished).await.is_ok();
+        let in_time = tokio::time::timeout(timeout, finished).await.is_ok();
         state.stop.cancel();
-        log::info!(host = &*state.me.id.address, whole = whole, decision = "left"; "drain");
+        log::info!(host = &*state.me.id.address, whole = in_time, decision = "left"; "drain");
     }
 
-    /// Stops at once, as a crash does, but in this process.
+    /// Stops the daemon at once without draining, which simulates a crash within the process.
     pub fn kill(self) {
         self.state.stop.cancel();
     }
@@ -273,7 +276,7 @@
         max_slices: quota.max_slices,
         borrow_valid: quota.borrow_valid(),
         borrow_attempts: quota.borrow_attempts,
-        pause_limit: settings.platform.list_lag() / PAUSE_SHARE,
+        pause_limit: settings.platform.list_lag() / PAUSE_LIMIT_DIVISOR,
         claim_wait: settings.platform.list_lag(),
         ..LedgerPolicy::default()
     }
@@ -316,7 +319,7 @@
     let limits = &state.settings.limits;
     let head = limits.head_timeout();
     let caller_limits = ServeLimits { head, connections: limits.connections };
-    let operator_limits = ServeLimits { head, connections: OPERATOR_CONNECTIONS };
+    let operator_limits = ServeLimits { head, connections: MAX_OPERATOR_CONNECTIONS };
     let operators = operator::build_router(state.clone());
     let stop = state.stop.clone();
     tokio::spawn(serve_router(
@@ -337,7 +340,7 @@
     ))
 }
 
-/// Runs a loop until the daemon stops.
+/// Spawns a background loop, which is cancelled when the daemon stops.
 fn spawn_loop(state: &Arc<DaemonState>, running: impl Future<Output = ()> + Send + 'static) {
     let stop = state.stop.clone();
     tokio::spawn(async move {
@@ -349,7 +352,7 @@
 }
 
 fn spawn_loops(state: &Arc<DaemonState>) {
-    spawn_loop(state, run_rhythm(state.clone()));
+    spawn_loop(state, run_probes(state.clone()));
     spawn_loop(state, poll_hosts(state.clone()));
     spawn_loop(state, poll_generations(state.clone()));
     spawn_loop(state, publish_withdrawals(state.clone()));
--- a/crates/cuminramp-daemon/src/peer/rhythm.rs
+++ b/crates/cuminramp-daemon/src/peer/probing.rs
@@ -1,4 +1,4 @@
-//! Probes: who lives, and who has what in force.
+//! Probes, which detect hosts that failed and exchange membership updates and version digests.
 
 use std::sync::Arc;
 
@@ -10,27 +10,27 @@
 use crate::state::{DaemonState, lock};
 use crate::sync::{merge_pull, pull_request, version_digest};
 
-/// How many hosts are told at once that something new is in force.
-const SPREAD_WIDTH: usize = 4;
+/// Number of hosts probed at once to spread a change.
+const SPREAD_FANOUT: usize = 4;
 
-/// Probes one host after another.
-pub(crate) async fn run_rhythm(state: Arc<DaemonState>) {
-    let mut heartbeat = tokio::time::interval(state.settings.peers.probe_interval());
-    heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+/// Ticks the member table every probe interval and runs the probes it asks for.
+pub(crate) async fn run_probes(state: Arc<DaemonState>) {
+    let mut ticks = tokio::time::interval(state.settings.peers.probe_interval());
+    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        heartbeat.tick().await;
+        ticks.tick().await;
         let actions = {
             let mut random = lock(&state.random);
             lock(&state.members).tick(random.as_mut(), Instant::now())
         };
         for action in actions {
             let state = state.clone();
-            tokio::spawn(async move { carry_out(&state, action).await });
+            tokio::spawn(async move { execute(&state, action).await });
         }
     }
 }
 
-async fn carry_out(state: &Arc<DaemonState>, action: MemberAction) {
+async fn execute(state: &Arc<DaemonState>, action: MemberAction) {
     match action {
         MemberAction::Probe(address) => {
             if probe_host(state, &address).await {
@@ -41,7 +41,7 @@
                 lock(&state.members).on_probe_failed(&address, random.as_mut(), Instant::now())
             };
             for action in follow_up {
-                Box::pin(carry_out(state, action)).await;
+                Box::pin(execute(state, action)).await;
             }
         }
         MemberAction::ProbeThrough { target, helpers } => {
@@ -58,31 +58,32 @@
     Probe { sender, updates, digest: Some(version_digest(state)), target: target.to_owned() }
 }
 
-/// Probes a host; says whether it answered.
+/// Probes a host and applies its reply; returns whether it answered.
 async fn probe_host(state: &Arc<DaemonState>, address: &str) -> bool {
     let probe = make_probe(state, address, "");
     state.metrics.count_peer_call("probe");
-    let limit = state.settings.peers.probe_timeout();
-    let Some(reply) = state.peers.probe(address, probe, limit).await else {
+    let timeout = state.settings.peers.probe_timeout();
+    let Some(reply) = state.peers.probe(address, probe, timeout).await else {
         return false;
     };
-    take_reply(state, address, &reply).await;
+    apply_reply(state, address, &reply).await;
     true
 }
 
+/// Probes a host through `helpers`, and marks it as suspect if it is alive for none of them.
 async fn probe_through(state: &Arc<DaemonState>, target: &Name, helpers: &[Name]) {
-    let limit = state.settings.peers.probe_timeout() * 3;
-    let mut asked = tokio::task::JoinSet::new();
+    let timeout = state.settings.peers.probe_timeout() * 3;
+    let mut probes = tokio::task::JoinSet::new();
     for helper in helpers {
         let (state, helper) = (state.clone(), helper.clone());
         let probe = make_probe(&state, &helper, target);
-        asked.spawn(async move {
+        probes.spawn(async move {
             state.metrics.count_peer_call("probe-through");
-            state.peers.probe(&helper, probe, limit).await
+            state.peers.probe(&helper, probe, timeout).await
         });
     }
     let mut alive = false;
-    while let Some(reply) = asked.join_next().await {
+    while let Some(reply) = probes.join_next().await {
         alive |= matches!(reply, Ok(Some(reply)) if reply.target_alive);
     }
     if !alive && lock(&state.members).on_unreachable(target, Instant::now()) {
@@ -90,17 +91,17 @@
     }
 }
 
-/// Probes a host that another one can't reach.
-pub(crate) async fn probe_for_other(state: &Arc<DaemonState>, target: &str) -> bool {
+/// Probes a host on behalf of a peer that can't reach it; returns whether it answered.
+pub(crate) async fn probe_on_behalf(state: &Arc<DaemonState>, target: &str) -> bool {
     probe_host(state, target).await
 }
 
-/// Takes a probe in and answers it.
-pub(crate) fn answer_probe(state: &Arc<DaemonState>, probe: &Probe) -> ProbeReply {
+/// Handles a probe: applies its updates, pulls what this host lacks, and returns the reply.
+pub(crate) fn handle_probe(state: &Arc<DaemonState>, probe: &Probe) -> ProbeReply {
     let sender = probe.sender.clone().unwrap_or_default();
-    take_news(state, &sender, &probe.updates);
+    apply_updates(state, &sender, &probe.updates);
     if let Some(digest) = &probe.digest {
-        note_digest(state, &sender.address, digest);
+        apply_digest(state, &sender.address, digest);
     }
     let mut members = lock(&state.members);
     let updates = members.take_updates(Some(&sender.address));
@@ -114,19 +115,19 @@
     }
 }
 
-async fn take_reply(state: &Arc<DaemonState>, address: &str, reply: &ProbeReply) {
+async fn apply_reply(state: &Arc<DaemonState>, address: &str, reply: &ProbeReply) {
     if let Some(sender) = &reply.sender {
-        take_news(state, sender, &reply.updates);
+        apply_updates(state, sender, &reply.updates);
     }
     if let Some(digest) = &reply.digest {
-        state.contact.note_age(digest.table_age_ms, Instant::now());
-        if differs(state, digest) {
+        state.contact.record_age(digest.table_age_ms, Instant::now());
+        if needs_pull(state, digest) {
             pull_from(state, address).await;
         }
     }
 }
 
-fn take_news(state: &DaemonState, sender: &HostState, updates: &[HostState]) {
+fn apply_updates(state: &DaemonState, sender: &HostState, updates: &[HostState]) {
     let now = Instant::now();
     let mut members = lock(&state.members);
     for update in updates {
@@ -135,17 +136,17 @@
     members.on_message(sender, now);
 }
 
-/// Whether the sender has something that this host lacks.
-fn differs(state: &DaemonState, theirs: &VersionDigest) -> bool {
+/// Whether the sender's digest shows a newer generation, or other withdrawals or shards than here.
+fn needs_pull(state: &DaemonState, theirs: &VersionDigest) -> bool {
     let mine = version_digest(state);
     theirs.generation > mine.generation
         || theirs.withdrawal_hash != mine.withdrawal_hash
         || theirs.shard_hash != mine.shard_hash
 }
 
-fn note_digest(state: &Arc<DaemonState>, address: &str, digest: &VersionDigest) {
-    state.contact.note_age(digest.table_age_ms, Instant::now());
-    if !address.is_empty() && differs(state, digest) {
+fn apply_digest(state: &Arc<DaemonState>, address: &str, digest: &VersionDigest) {
+    state.contact.record_age(digest.table_age_ms, Instant::now());
+    if !address.is_empty() && needs_pull(state, digest) {
         let (state, address) = (state.clone(), address.to_owned());
         state.tasks.clone().spawn(async move { pull_from(&state, &address).await });
     }
@@ -160,11 +161,12 @@
     merge_pull(state, &reply);
 }
 
-/// Probes a few hosts at once, so that what is new here is soon known everywhere.
+/// Probes up to `SPREAD_FANOUT` random hosts at once, so that they detect and pull a change made here
+/// without waiting for the next probe interval.
 pub(crate) async fn spread_updates(state: &Arc<DaemonState>) {
     let mut peers = lock(&state.members).usable_peers();
     let mut probes = tokio::task::JoinSet::new();
-    while probes.len() < SPREAD_WIDTH && !peers.is_empty() {
+    while probes.len() < SPREAD_FANOUT && !peers.is_empty() {
         let index = lock(&state.random).below(peers.len());
         let (state, address) = (state.clone(), peers.swap_remove(index));
         probes.spawn(async move { probe_host(&state, &address).await });
--- a/crates/cuminramp-daemon/src/peer/server.rs
+++ b/crates/cuminramp-daemon/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Answers to other daemons.
+//! Server for calls from other daemons.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,24 +20,24 @@
 
 use crate::admission::{lend_tokens, take_tokens};
 use crate::peer::MAX_FRAME_BYTES;
-use crate::peer::rhythm::{answer_probe, probe_for_other};
+use crate::peer::probing::{handle_probe, probe_on_behalf};
 use crate::state::{DaemonState, lock};
 use crate::sync::handle_pull;
 
-/// A connection on which no call came for so long is closed; its peer opens another when it needs to.
-const IDLE_LIMIT: Duration = Duration::from_secs(120);
+/// Timeout after which a connection without calls is closed; the peer opens another one when it needs to.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 #[derive(Clone)]
-struct PeerAnswers {
+struct PeerHandler {
     state: Arc<DaemonState>,
 }
 
-impl PeerService for PeerAnswers {
+impl PeerService for PeerHandler {
     async fn probe(self, _: Context, request: Encoded<Probe>) -> Encoded<ProbeReply> {
         let probe = request.0;
-        let mut reply = answer_probe(&self.state, &probe);
+        let mut reply = handle_probe(&self.state, &probe);
         if !probe.target.is_empty() {
-            reply.target_alive = probe_for_other(&self.state, &probe.target).await;
+            reply.target_alive = probe_on_behalf(&self.state, &probe.target).await;
         }
         Encoded(reply)
     }
@@ -69,20 +69,20 @@
     }
 }
 
-/// Serves other daemons until the state stops.
+/// Serves other daemons until the daemon stops.
 pub(crate) async fn serve_peers(state: Arc<DaemonState>, listener: TcpListener) {
     while let Some(stream) = accept_next(&listener, &state.stop).await {
         let framed =
             LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream);
         let transport = tarpc::serde_transport::new(framed, Bincode::default());
-        let answers = PeerAnswers { state: state.clone() };
+        let handler = PeerHandler { state: state.clone() };
         let stop = state.stop.clone();
         tokio::spawn(async move {
-            let calls = BaseChannel::with_defaults(transport).execute(answers.serve());
+            let calls = BaseChannel::with_defaults(transport).execute(handler.serve());
             tokio::pin!(calls);
             loop {
                 let next = tokio::select! {
-                    next = tokio::time::timeout(IDLE_LIMIT, calls.next()) => next,
+                    next = tokio::time::timeout(IDLE_TIMEOUT, calls.next()) => next,
                     () = stop.cancelled() => return,
                 };
                 let Ok(Some(call)) = next else { return };
--- a/crates/cuminramp-daemon/src/state.rs
+++ b/crates/cuminramp-daemon/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a daemon share.
+//! State shared by the parts of a daemon.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,13 +20,14 @@
 use crate::metrics::DaemonMetrics;
 use crate::sync::ConfigurationStore;
 
-/// Takes a lock; a holder that panicked left nothing half done that matters here.
+/// Acquires a lock, even if a holder panicked: the state behind these locks remains usable after a partial
+/// update.
 pub(crate) fn lock<T: ?Sized>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Everything the parts share. Each decision machine stands behind a lock that is held only while it
-/// decides, never across a wait.
+/// State shared by the parts of a daemon. Each state machine has its own lock, which is held only while the
+/// state machine decides, never across an await.
 pub(crate) struct DaemonState {
     pub(crate) settings: DaemonSettings,
     pub(crate) me: Host,
@@ -47,31 +48,33 @@
     pub(crate) batch: BatchState,
     pub(crate) metrics: DaemonMetrics,
     pub(crate) random: Mutex<Box<dyn RandomSource>>,
+    /// Latest time at which the table answered this host or one that reported it in a probe.
     pub(crate) contact: TableContact,
-    /// When the table answered this very host.
+    /// Latest time at which the table answered this host.
     pub(crate) own_contact: TableContact,
     pub(crate) tasks: TaskTracker,
     /// Cancelled when the host begins to leave.
     pub(crate) drain: CancellationToken,
-    /// Cancelled when everything stops.
+    /// Cancelled when the daemon stops.
     pub(crate) stop: CancellationToken,
     pub(crate) ready: AtomicBool,
     pub(crate) next_grant: AtomicU64,
 }
 
 impl DaemonState {
-    /// A number that never repeats within this run.
+    /// Returns a number that is unique within this incarnation.
     pub(crate) fn next_number(&self) -> u64 {
         self.next_grant.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A mark that no other writer uses.
+    /// Returns an id for a write that no other write has, on this host or another.
     pub(crate) fn writer_mark(&self) -> String {
         format!("{}/{}/{}", self.me.id.address, self.me.id.incarnation, self.next_number())
     }
 
-    /// Whether this host can know what is in force: it heard from the table lately, itself or
-    /// through others, or it hears most other hosts, so that the table is down for all.
+    /// Whether the configuration on this host can be trusted to be current: the table answered this host or
+    /// one in contact with it within `unconfirmed_after`. Also true if this host receives from a majority of
+    /// the hosts or is the only one: then the table is down for all.
     pub(crate) fn is_confirmed(&self, now: Instant) -> bool {
         let limit = self.settings.configuration.unconfirmed_after();
         if self.contact.age(now) <= limit {
@@ -84,14 +87,14 @@
 }
 
 impl DaemonState {
-    /// Notes that the table answered this host at `at`.
+    /// Records that the table answered this host at `at`.
     pub(crate) fn note_table(&self, at: Instant) {
-        self.contact.note(at);
-        self.own_contact.note(at);
+        self.contact.record(at);
+        self.own_contact.record(at);
     }
 
-    /// Whether this host may spend what it owns. In the baseline with expiring leases that takes an
-    /// answer of the table within the lease.
+    /// Whether this host may spend the tokens of shards that it owns. With `QuotaPolicy::ExpiringLease`, a
+    /// baseline for comparison, the table must have answered this host within the lease.
     pub(crate) fn may_spend(&self, now: Instant) -> bool {
         match self.settings.quota.policy {
             QuotaPolicy::ExpiringLease => self.own_contact.age(now) <= self.settings.quota.lease(),
@@ -100,42 +103,42 @@
     }
 }
 
-/// When the table was last heard from, by this host or by one that said so.
+/// Latest time at which the table is known to have answered.
 #[derive(Debug)]
 pub(crate) struct TableContact {
     started: Instant,
-    /// Milliseconds after `started`, plus one; 0: never.
-    heard: AtomicU64,
+    /// Milliseconds after `started`, plus one; 0 if the table never answered.
+    latest: AtomicU64,
 }
 
-/// The age of a contact that never was.
-const NEVER: Duration = Duration::from_secs(1 << 24);
+/// Age of the contact if the table never answered.
+const NEVER_ANSWERED_AGE: Duration = Duration::from_secs(1 << 24);
 
 impl TableContact {
     pub(crate) fn new(now: Instant) -> Self {
-        TableContact { started: now, heard: AtomicU64::new(0) }
+        TableContact { started: now, latest: AtomicU64::new(0) }
     }
 
-    /// The table answered at `at`.
-    pub(crate) fn note(&self, at: Instant) {
+    /// Records that the table answered at `at`.
+    pub(crate) fn record(&self, at: Instant) {
         let millis = at.saturating_duration_since(self.started).as_millis() as u64;
-        self.heard.fetch_max(millis + 1, Ordering::Relaxed);
+        self.latest.fetch_max(millis + 1, Ordering::Relaxed);
     }
 
-    /// Another host heard from the table `age_ms` ago.
-    pub(crate) fn note_age(&self, age_ms: u64, now: Instant) {
+    /// Records that the table answered another host `age_ms` ago.
+    pub(crate) fn record_age(&self, age_ms: u64, now: Instant) {
         let at = now.checked_sub(Duration::from_millis(age_ms));
         if let Some(at) = at.filter(|at| *at >= self.started) {
-            self.note(at);
+            self.record(at);
         }
     }
 
     pub(crate) fn age(&self, now: Instant) -> Duration {
-        match self.heard.load(Ordering::Relaxed) {
-            0 => NEVER,
+        match self.latest.load(Ordering::Relaxed) {
+            0 => NEVER_ANSWERED_AGE,
             millis => {
-                let heard = self.started + Duration::from_millis(millis - 1);
-                now.saturating_duration_since(heard)
+                let answered_at = self.started + Duration::from_millis(millis - 1);
+                now.saturating_duration_since(answered_at)
             }
         }
     }
