--- a/crates/cuminramp-daemon/src/entry/auth.rs
+++ b/crates/cuminramp-daemon/src/entry/auth.rs
@@ -11,7 +11,7 @@
 use http::header::AUTHORIZATION;
 use tokio::time::Instant;
 
-use crate::entry::answers::refusal_response;
+use crate::entry::responses::refusal_response;
 use crate::state::DaemonState;
 
 /// Prefix of the key in the `Authorization` header.
--- a/crates/cuminramp-daemon/src/entry/batches.rs
+++ b/crates/cuminramp-daemon/src/entry/batches.rs
@@ -11,9 +11,9 @@
 
 use crate::admission::{admit_request, request_cost};
 use crate::batch::{JobRequest, cancel_job, create_job, describe_job, list_jobs};
-use crate::entry::answers::respond;
 use crate::entry::auth::{AuthenticatedCaller, authenticate, check_not_stopping};
 use crate::entry::body::read_bounded;
+use crate::entry::responses::respond;
 use crate::state::DaemonState;
 
 /// Only endpoint that batch items may use.
--- a/crates/cuminramp-daemon/src/entry/calls.rs
+++ b/crates/cuminramp-daemon/src/entry/calls.rs
@@ -15,10 +15,10 @@
 
 use crate::admission::{admit_request, request_cost};
 use crate::dispatch::{OnlineRequest, dispatch_online};
-use crate::entry::answers::respond;
 use crate::entry::auth::{authenticate, check_not_stopping};
 use crate::entry::body::read_bounded;
 use crate::entry::chat::{RequestAttributes, build_online_request, find_route, saved_answer};
+use crate::entry::responses::respond;
 use crate::interfaces::TargetRequest;
 use crate::marks::{MarkDecision, MarkEnd, StartedMark, begin_marked};
 use crate::state::DaemonState;
--- a/crates/cuminramp-daemon/src/entry/chat.rs
+++ b/crates/cuminramp-daemon/src/entry/chat.rs
@@ -18,10 +18,10 @@
 
 use crate::admission::{admit_request, request_cost};
 use crate::dispatch::OnlineRequest;
-use crate::entry::answers::respond;
 use crate::entry::auth::{AuthenticatedCaller, authenticate, check_not_stopping};
 use crate::entry::body::read_bounded;
 use crate::entry::calls::run_with_mark;
+use crate::entry::responses::respond;
 use crate::interfaces::TargetRequest;
 use crate::state::DaemonState;
 
--- a/crates/cuminramp-daemon/src/entry/files.rs
+++ b/crates/cuminramp-daemon/src/entry/files.rs
@@ -17,9 +17,9 @@
 
 use crate::admission::{admit_request, request_cost};
 use crate::batch::read_output;
-use crate::entry::answers::respond;
 use crate::entry::auth::{AuthenticatedCaller, authenticate, check_not_stopping};
 use crate::entry::body::read_bounded;
+use crate::entry::responses::respond;
 use crate::state::DaemonState;
 
 /// Prefix of the identifiers of uploaded files.
--- a/crates/cuminramp-daemon/src/entry/mod.rs
+++ b/crates/cuminramp-daemon/src/entry/mod.rs
@@ -1,12 +1,12 @@
 //! HTTP interface for callers: chat completions, files, batches, calls to services, and steering.
 
-mod answers;
 mod auth;
 mod batches;
 mod body;
 mod calls;
 pub(crate) mod chat;
 pub(crate) mod files;
+mod responses;
 mod steering;
 
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use axum::extract::DefaultBodyLimit;
 use axum::routing::{any, get, post};
 
-pub(crate) use answers::{error_body, refusal_response};
+pub(crate) use responses::{error_body, refusal_response};
 
 use crate::state::DaemonState;
 
@@ -31,9 +31,9 @@
         .route("/v1/batches/{id}", get(batches::show_batch))
         .route("/v1/batches/{id}/cancel", post(batches::cancel_batch))
         .route("/cuminramp/hosts", get(steering::show_hosts))
-        .route("/v1/{*rest}", any(answers::unknown_endpoint))
+        .route("/v1/{*rest}", any(responses::unknown_endpoint))
         .fallback(calls::call_service)
-        .method_not_allowed_fallback(answers::unknown_endpoint)
+        .method_not_allowed_fallback(responses::unknown_endpoint)
         .layer(DefaultBodyLimit::disable())
         .with_state(state)
 }
--- a/crates/cuminramp-routes/src/lib.rs
+++ b/crates/cuminramp-routes/src/lib.rs
@@ -10,7 +10,7 @@
 mod configuration;
 mod declarations;
 mod generation_log;
-mod planner;
+mod index;
 mod withdrawals;
 
 pub use changes::plan_changes;
@@ -19,5 +19,5 @@
     Charge, DeclarationError, Declarations, Pool, PoolKind, Route, Target, Team, parse_declarations,
 };
 pub use generation_log::{CatchUp, GenerationLog};
-pub use planner::{RoutePlanner, RouteQuery};
+pub use index::{RoutePlanner, RouteQuery};
 pub use withdrawals::WithdrawalSet;
