--- a/crates/cuminramp-fleet/src/acceptance.rs
+++ b/crates/cuminramp-fleet/src/acceptance.rs
@@ -5,32 +5,32 @@
 
 /// The row of a submitted job, as last read from the table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum FoundJob {
+pub enum JobRowOwner {
     /// No row of the job was read.
     Missing,
     /// This call wrote the row.
     Own,
     /// Another call wrote the row, at this host or at another one.
-    Others,
+    Other,
 }
 
 /// State of a submission from which the next step is decided.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptanceView {
     /// The job's row in the table.
-    pub found: FoundJob,
+    pub found: JobRowOwner,
     /// Tokens of the team's unfinished items on the route. Includes this job's once its row was read.
-    pub waiting: u64,
+    pub waiting_tokens: u64,
     /// Tokens of this job.
-    pub tokens: u64,
+    pub job_tokens: u64,
     /// Maximum number of waiting tokens, this job's included; 0 means no limit.
-    pub limit: u64,
+    pub max_waiting_tokens: u64,
     /// Whether the table was read after the last write of this call.
     pub is_fresh: bool,
     /// Whether a write of this call may still be applied.
-    pub is_unsettled: bool,
+    pub has_pending_write: bool,
     /// Whether there is no time left for another attempt before the caller stops waiting.
-    pub is_time_up: bool,
+    pub is_past_deadline: bool,
 }
 
 /// Next step of a submission.
@@ -39,7 +39,7 @@
     /// Answer that the job is accepted: this call made it durable.
     Accepted,
     /// Answer that the job was already accepted: another call made it durable.
-    Repeated,
+    AlreadyAccepted,
     /// Read the table, then decide again.
     Refresh,
     /// Write the job's row.
@@ -49,58 +49,59 @@
     /// Refuse the job because the table could not be read or written: it was not run and never will be.
     RefuseUnavailable,
     /// Answer that the outcome is unknown: the job may have been accepted.
-    LeaveOpen,
+    RefuseUnknown,
 }
 
 impl AcceptanceView {
     /// Returns the next step.
     ///
-    /// The job's own row is checked first. Counted in `waiting` as if it were other work, it would use
+    /// The job's own row is checked first. Counted in `waiting_tokens` as if it were other work, it would use
     /// up the capacity that the job itself needs, and a job that runs would be refused as "not run".
     /// A caller that then submits the same work under another name would get it done twice.
     ///
     /// ```
-    /// use cuminramp_fleet::{AcceptanceStep, AcceptanceView, FoundJob};
+    /// use cuminramp_fleet::{AcceptanceStep, AcceptanceView, JobRowOwner};
     /// let view = AcceptanceView {
-    ///     found: FoundJob::Missing,
-    ///     waiting: 600,
-    ///     tokens: 500,
-    ///     limit: 1_000,
+    ///     found: JobRowOwner::Missing,
+    ///     waiting_tokens: 600,
+    ///     job_tokens: 500,
+    ///     max_waiting_tokens: 1_000,
     ///     is_fresh: true,
-    ///     is_unsettled: false,
-    ///     is_time_up: false,
+    ///     has_pending_write: false,
+    ///     is_past_deadline: false,
     /// };
     /// assert_eq!(view.next_step(), AcceptanceStep::RefuseFull);
-    /// let late = AcceptanceView { found: FoundJob::Own, ..view };
+    /// let late = AcceptanceView { found: JobRowOwner::Own, ..view };
     /// assert_eq!(late.next_step(), AcceptanceStep::Accepted);
     /// ```
     pub fn next_step(&self) -> AcceptanceStep {
         match self.found {
-            FoundJob::Own => return AcceptanceStep::Accepted,
-            FoundJob::Others => return AcceptanceStep::Repeated,
-            FoundJob::Missing => {}
+            JobRowOwner::Own => return AcceptanceStep::Accepted,
+            JobRowOwner::Other => return AcceptanceStep::AlreadyAccepted,
+            JobRowOwner::Missing => {}
         }
-        if self.is_time_up {
-            return self.refuse_or_leave_open(AcceptanceStep::RefuseUnavailable);
+        if self.is_past_deadline {
+            return self.refuse_unless_pending(AcceptanceStep::RefuseUnavailable);
         }
-        let has_capacity = self.limit == 0 || self.waiting + self.tokens <= self.limit;
+        let has_capacity = self.max_waiting_tokens == 0
+            || self.waiting_tokens + self.job_tokens <= self.max_waiting_tokens;
         match (has_capacity, self.is_fresh) {
             (true, _) => AcceptanceStep::Write,
             // The last read may be out of date, so the table is read again before a job is refused.
             (false, false) => AcceptanceStep::Refresh,
-            (false, true) => self.refuse_or_leave_open(AcceptanceStep::RefuseFull),
+            (false, true) => self.refuse_unless_pending(AcceptanceStep::RefuseFull),
         }
     }
 
     /// Returns the next step after the table could not be read.
     pub fn after_failed_read(&self) -> AcceptanceStep {
-        self.refuse_or_leave_open(AcceptanceStep::RefuseUnavailable)
+        self.refuse_unless_pending(AcceptanceStep::RefuseUnavailable)
     }
 
     /// Returns `refusal`, unless a pending write may still be applied: a refusal promises that the job
     /// never runs.
-    fn refuse_or_leave_open(&self, refusal: AcceptanceStep) -> AcceptanceStep {
-        if self.is_unsettled { AcceptanceStep::LeaveOpen } else { refusal }
+    fn refuse_unless_pending(&self, refusal: AcceptanceStep) -> AcceptanceStep {
+        if self.has_pending_write { AcceptanceStep::RefuseUnknown } else { refusal }
     }
 }
 
--- a/crates/cuminramp-fleet/src/declarations.rs
+++ b/crates/cuminramp-fleet/src/declarations.rs
@@ -13,7 +13,7 @@
     /// Requests may run more than once.
     Idempotent,
     /// Requests run at most once.
-    Once,
+    AtMostOnce,
     /// Answers are event streams; requests run at most once unless the route's streams are resumable.
     Stream,
     /// Requests submit batch jobs.
@@ -48,7 +48,7 @@
     /// time.
     pub objective: Duration,
     /// Maximum time between two events of a stream that counts as on time.
-    pub gap: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// Maximum number of targets that may run one attempt of a caller.
     pub max_attempts: u32,
     /// Whether requests are accepted without a key.
@@ -56,13 +56,13 @@
     /// Whether a stream can be resumed at another target.
     pub is_resumable: bool,
     /// Time from a job's first submission until its results are due.
-    pub due: Duration,
+    pub due_after: Duration,
     /// Time from a job's first submission until its unfinished items may be given up.
-    pub keep: Duration,
+    pub item_ttl: Duration,
     /// Maximum number of tokens in a team's unfinished items on the route; 0 means no limit.
-    pub waiting_tokens: u64,
+    pub max_waiting_tokens: u64,
     /// Home regions: the regions in which the route's requests may run. Empty means all.
-    pub homes: Vec<Name>,
+    pub home_regions: Vec<Name>,
 }
 
 impl RouteRule {
@@ -70,7 +70,7 @@
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent | RouteKind::Batch => true,
-            RouteKind::Once => false,
+            RouteKind::AtMostOnce => false,
             RouteKind::Stream => self.is_resumable,
         }
     }
@@ -117,7 +117,7 @@
     /// Maximum burst in requests, over all hosts.
     pub burst: f64,
     /// Home regions: the regions in which the team's requests may run. Empty means all.
-    pub homes: Vec<Name>,
+    pub home_regions: Vec<Name>,
 }
 
 /// Limits on the size and duration of callers' requests.
@@ -231,15 +231,16 @@
 
     /// Returns the home regions of all routes of a host name. Empty, which means all regions, if any of
     /// the routes declares none.
-    pub fn homes_of(&self, host: &str) -> Vec<Name> {
+    pub fn home_regions_of(&self, host: &str) -> Vec<Name> {
         let routes = self.routes.get(host).map_or(&[][..], Vec::as_slice);
-        if routes.iter().any(|route| route.homes.is_empty()) {
+        if routes.iter().any(|route| route.home_regions.is_empty()) {
             return vec![];
         }
-        let mut homes: Vec<Name> = routes.iter().flat_map(|route| route.homes.clone()).collect();
-        homes.sort();
-        homes.dedup();
-        homes
+        let mut home_regions: Vec<Name> =
+            routes.iter().flat_map(|route| route.home_regions.clone()).collect();
+        home_regions.sort();
+        home_regions.dedup();
+        home_regions
     }
 
     /// Returns all teams, ordered by name.
@@ -260,7 +261,7 @@
     /// Reads of the store may return out of order, and a host that was cut off may pass on the version
     /// from before. If an earlier version replaced a later one, routes and keys that callers already
     /// use would disappear.
-    pub fn offer(&mut self, offered: Arc<FleetDeclarations>) -> bool {
+    pub fn update(&mut self, offered: Arc<FleetDeclarations>) -> bool {
         let is_later = self.current.as_ref().is_none_or(|held| held.version < offered.version);
         if is_later {
             self.current = Some(offered);
--- a/crates/cuminramp-fleet/src/declarations/tests.rs
+++ b/crates/cuminramp-fleet/src/declarations/tests.rs
@@ -14,14 +14,14 @@
         pools: vec![PoolShare { pool: "p".into(), weight: 1 }],
         timeout: Duration::from_secs(5),
         objective: Duration::from_millis(300),
-        gap: None,
+        max_event_gap: None,
         max_attempts: 2,
         is_public: false,
         is_resumable: true,
-        due: Duration::ZERO,
-        keep: Duration::ZERO,
-        waiting_tokens: 0,
-        homes: vec![],
+        due_after: Duration::ZERO,
+        item_ttl: Duration::ZERO,
+        max_waiting_tokens: 0,
+        home_regions: vec![],
     }
 }
 
@@ -31,7 +31,7 @@
         keys: vec!["k1".into()],
         rate: 1.0,
         burst: 1.0,
-        homes: vec![],
+        home_regions: vec![],
     };
     let routes = vec![route("/a/"), route("/a/b/")];
     FleetDeclarations::new(version, CallerLimits::default(), routes, vec![], vec![team])
@@ -63,7 +63,7 @@
     let mut store = DeclarationStore::default();
 
     let applied: Vec<bool> =
-        [5, 3, 5, 9].into_iter().map(|version| store.offer(Arc::new(declared(version)))).collect();
+        [5, 3, 5, 9].into_iter().map(|version| store.update(Arc::new(declared(version)))).collect();
 
     assert_eq!(applied, [true, false, false, true]);
     assert_eq!(store.current().map(|held| held.version()), Some(9));
--- a/crates/cuminramp-fleet/src/drains.rs
+++ b/crates/cuminramp-fleet/src/drains.rs
@@ -38,8 +38,8 @@
 /// use tokio::time::Instant;
 /// let mut table = DrainTable::default();
 /// let drain = ZoneDrain { zone: "z1".into(), version: 7, is_drained: true };
-/// assert!(table.offer(drain.clone(), Instant::now()));
-/// assert!(!table.offer(ZoneDrain { version: 6, is_drained: false, ..drain }, Instant::now()));
+/// assert!(table.record(drain.clone(), Instant::now()));
+/// assert!(!table.record(ZoneDrain { version: 6, is_drained: false, ..drain }, Instant::now()));
 /// assert_eq!(table.drained(), ["z1".into()]);
 /// ```
 #[derive(Debug, Default)]
@@ -49,7 +49,7 @@
 
 impl DrainTable {
     /// Records a drain if it is newer than the recorded one of its zone, and returns whether it was.
-    pub fn offer(&mut self, drain: ZoneDrain, now: Instant) -> bool {
+    pub fn record(&mut self, drain: ZoneDrain, now: Instant) -> bool {
         let recorded = self.records.get(&drain.zone);
         if recorded.is_some_and(|record| record.drain.version >= drain.version) {
             return false;
@@ -71,7 +71,7 @@
         let unlisted = self.drained().into_iter().filter(|zone| !is_listed(zone));
         let ended = unlisted.map(|zone| ZoneDrain { zone, version, is_drained: false });
         let candidates: Vec<ZoneDrain> = ended.chain(listed.iter().cloned()).collect();
-        candidates.into_iter().filter(|drain| self.offer(drain.clone(), now)).collect()
+        candidates.into_iter().filter(|drain| self.record(drain.clone(), now)).collect()
     }
 
     /// Returns the zones whose targets receive no new work, sorted by name.
--- a/crates/cuminramp-fleet/src/drains/tests.rs
+++ b/crates/cuminramp-fleet/src/drains/tests.rs
@@ -11,7 +11,7 @@
 fn table(drains: &[ZoneDrain]) -> DrainTable {
     let mut table = DrainTable::default();
     for drain in drains {
-        table.offer(drain.clone(), Instant::now());
+        table.record(drain.clone(), Instant::now());
     }
     table
 }
@@ -22,7 +22,7 @@
 async fn an_older_drain_never_replaces_a_newer_one() {
     let mut table = table(&[drain("z1", 5, true), drain("z1", 9, false)]);
 
-    let is_newer = table.offer(drain("z1", 5, true), Instant::now());
+    let is_newer = table.record(drain("z1", 5, true), Instant::now());
 
     assert!(!is_newer);
     assert!(table.drained().is_empty());
--- a/crates/cuminramp-fleet/src/fixtures.rs
+++ b/crates/cuminramp-fleet/src/fixtures.rs
@@ -19,7 +19,7 @@
         sequence,
         is_ready: true,
         has_left: false,
-        wants_answer: false,
+        is_join_request: false,
         wants_hosts: false,
         reaches_store: true,
         declarations: 1,
--- a/crates/cuminramp-fleet/src/heartbeat.rs
+++ b/crates/cuminramp-fleet/src/heartbeat.rs
@@ -95,7 +95,7 @@
     /// Whether the sender has stopped admitting requests for the rest of this incarnation.
     pub has_left: bool,
     /// Whether the receiver should answer with its own heartbeat at once; set in join requests.
-    pub wants_answer: bool,
+    pub is_join_request: bool,
     /// Whether that answer should list known hosts; set if the sender knows hardly any.
     pub wants_hosts: bool,
     /// Whether the sender can reach the store.
--- a/crates/cuminramp-fleet/src/jobs.rs
+++ b/crates/cuminramp-fleet/src/jobs.rs
@@ -9,7 +9,7 @@
 mod checkpoint;
 mod item;
 
-pub use checkpoint::UnsavedJob;
+pub use checkpoint::UnsavedProgress;
 pub use item::{
     FinishedItem, ItemFailure, ItemOutcome, ItemProgress, ItemSpec, ItemStart, JobSpec,
 };
@@ -237,20 +237,22 @@
     /// accounts for that. Without it, items with slightly too little time would run first, be preempted
     /// at the next peak and finish late, and then the items behind them would be late as well.
     fn is_late(&self, spec: &JobSpec, entry: &ItemEntry, now: Instant) -> bool {
-        now + self.average_run_time.saturating_sub(entry.progress.ran).mul_f64(self.slowdown)
+        now + self.average_run_time.saturating_sub(entry.progress.run_time).mul_f64(self.slowdown)
             > spec.due
     }
 
-    /// Updates the average slowdown with an item that completed after `ran` on targets.
-    fn record_slowdown(&mut self, job: &str, index: usize, ran: Duration, now: Instant) {
+    /// Updates the average slowdown with an item that completed after `run_time` on targets.
+    fn record_slowdown(&mut self, job: &str, index: usize, run_time: Duration, now: Instant) {
         let entry = self.jobs.get(job).and_then(|job| job.items.get(index));
-        let Some((since, ran_before)) = entry.and_then(|entry| entry.first_started) else { return };
-        let ran = ran.saturating_sub(ran_before);
-        if ran.is_zero() {
+        let Some((since, run_time_before)) = entry.and_then(|entry| entry.first_started) else {
+            return;
+        };
+        let run_time = run_time.saturating_sub(run_time_before);
+        if run_time.is_zero() {
             return;
         }
         let (min, max) = SLOWDOWN_RANGE;
-        let sample = now.duration_since(since).as_secs_f64() / ran.as_secs_f64();
+        let sample = now.duration_since(since).as_secs_f64() / run_time.as_secs_f64();
         let sample = sample.clamp(min, max);
         self.slowdown = self.slowdown * (1.0 - SAMPLE_WEIGHT) + sample * SAMPLE_WEIGHT;
     }
@@ -260,7 +262,11 @@
     /// Items of jobs that are due sooner run first, so that some jobs complete instead of all jobs
     /// being half done. An item that can no longer finish in time waits behind those that can:
     /// run first, it would only make another one late as well.
-    pub fn next(&mut self, accepts: impl Fn(&JobSpec) -> bool, now: Instant) -> Option<ItemStart> {
+    pub fn start_next(
+        &mut self,
+        accepts: impl Fn(&JobSpec) -> bool,
+        now: Instant,
+    ) -> Option<ItemStart> {
         let mut best: Option<((bool, Instant, usize), Name)> = None;
         for (id, job) in self.jobs.iter().filter(|(_, job)| accepts(&job.spec)) {
             for (index, entry) in job.items.iter().enumerate() {
@@ -278,7 +284,7 @@
         entry.phase = ItemPhase::Running;
         let progress = std::mem::take(&mut entry.progress);
         entry.resumed_after = progress.last_event;
-        entry.first_started = entry.first_started.or(Some((now, progress.ran)));
+        entry.first_started = entry.first_started.or(Some((now, progress.run_time)));
         Some(ItemStart { job: id, index, item: entry.item.clone(), progress })
     }
 
@@ -291,9 +297,9 @@
         progress: ItemProgress,
         now: Instant,
     ) -> Option<FinishedItem> {
-        self.record_slowdown(job, index, progress.ran, now);
+        self.record_slowdown(job, index, progress.run_time, now);
         let average = self.average_run_time.as_secs_f64() * (1.0 - SAMPLE_WEIGHT)
-            + progress.ran.as_secs_f64() * SAMPLE_WEIGHT;
+            + progress.run_time.as_secs_f64() * SAMPLE_WEIGHT;
         self.average_run_time = Duration::from_secs_f64(average);
         self.finish(job, index, ItemOutcome::Complete(progress.text))
     }
@@ -333,7 +339,7 @@
         let has_progressed = progress.last_event > entry.resumed_after;
         entry.progress = progress;
         match failure {
-            ItemFailure::GaveWay => {}
+            ItemFailure::Preempted => {}
             ItemFailure::Impossible => return self.finish(job, index, ItemOutcome::GivenUp),
             ItemFailure::Failed => {
                 entry.failures += 1;
@@ -342,7 +348,7 @@
                     return self.finish(job, index, ItemOutcome::GivenUp);
                 }
             }
-            ItemFailure::Broken => {
+            ItemFailure::Crashed => {
                 entry.crashes = if has_progressed { 0 } else { entry.crashes + 1 };
                 entry.not_before = Some(now + policy.delay_after_crashes(entry.crashes));
             }
@@ -350,12 +356,12 @@
         None
     }
 
-    /// Gives up the waiting items of all jobs past their `give_up` time, and returns each with the
+    /// Gives up the waiting items of all jobs past their `expires` time, and returns each with the
     /// identifier of its job.
-    pub fn drop_expired(&mut self, now: Instant) -> Vec<(Name, FinishedItem)> {
+    pub fn give_up_expired(&mut self, now: Instant) -> Vec<(Name, FinishedItem)> {
         let mut given_up = Vec::new();
         for (id, job) in self.jobs.iter_mut() {
-            if job.spec.give_up > now {
+            if job.spec.expires > now {
                 continue;
             }
             for (index, entry) in job.items.iter_mut().enumerate() {
--- a/crates/cuminramp-fleet/src/jobs/checkpoint.rs
+++ b/crates/cuminramp-fleet/src/jobs/checkpoint.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct SavedProgress {
     last_event: Option<u64>,
-    ran: Duration,
+    run_time: Duration,
 }
 
 impl SavedProgress {
     /// Returns the record of `progress` as saved.
     pub(super) fn of(progress: &ItemProgress) -> Self {
-        SavedProgress { last_event: progress.last_event, ran: progress.ran }
+        SavedProgress { last_event: progress.last_event, run_time: progress.run_time }
     }
 
     /// Returns whether the store has any progress of the item.
@@ -29,13 +29,13 @@
     /// of a target.
     fn is_behind(&self, progress: &ItemProgress, min_run_time: Duration) -> bool {
         progress.last_event > self.last_event
-            && progress.ran.saturating_sub(self.ran) >= min_run_time
+            && progress.run_time.saturating_sub(self.run_time) >= min_run_time
     }
 }
 
 /// Progress of one job's items that the store does not have.
 #[derive(Clone, Debug)]
-pub struct UnsavedJob {
+pub struct UnsavedProgress {
     /// Identifier of the job.
     pub job: Name,
     /// Team of the job.
@@ -60,9 +60,9 @@
     /// use std::time::Duration;
     /// use cuminramp_fleet::{JobTable, JobPolicy};
     /// let table = JobTable::new(JobPolicy::default());
-    /// assert!(table.unsaved(Duration::from_millis(500)).is_empty());
+    /// assert!(table.unsaved_progress(Duration::from_millis(500)).is_empty());
     /// ```
-    pub fn unsaved(&self, min_run_time: Duration) -> Vec<UnsavedJob> {
+    pub fn unsaved_progress(&self, min_run_time: Duration) -> Vec<UnsavedProgress> {
         let mut unsaved = Vec::new();
         for job in self.jobs.values() {
             let to_save = job.items.iter().enumerate().filter(|(_, entry)| {
@@ -74,7 +74,7 @@
                 .collect();
             if !items.is_empty() {
                 let (id, team) = (job.spec.id.clone(), job.spec.team.clone());
-                unsaved.push(UnsavedJob { job: id, team, items });
+                unsaved.push(UnsavedProgress { job: id, team, items });
             }
         }
         unsaved
--- a/crates/cuminramp-fleet/src/jobs/item.rs
+++ b/crates/cuminramp-fleet/src/jobs/item.rs
@@ -36,7 +36,7 @@
     /// Time by which the results are due.
     pub due: Instant,
     /// Time after which unfinished items may be given up.
-    pub give_up: Instant,
+    pub expires: Instant,
     /// Number of failed runs after which an item is given up.
     pub max_attempts: u32,
     /// Items of the job.
@@ -51,7 +51,7 @@
     /// Data of all events that were received completely, separated by line feeds.
     pub text: String,
     /// Time that targets worked to produce `text`.
-    pub ran: Duration,
+    pub run_time: Duration,
 }
 
 /// An item to send to a target, with the progress to resume from.
@@ -71,9 +71,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ItemFailure {
     /// The run was preempted, or no target accepted it; neither counts as a failure or a crash.
-    GaveWay,
+    Preempted,
     /// The connection broke or was silent while the target worked on the item; counts as a crash.
-    Broken,
+    Crashed,
     /// The target answered that the run failed.
     Failed,
     /// The target answered that the item can never be processed.
--- a/crates/cuminramp-fleet/src/jobs/tests.rs
+++ b/crates/cuminramp-fleet/src/jobs/tests.rs
@@ -27,7 +27,7 @@
         route: "r".into(),
         host: "a.example".into(),
         due: now + Duration::from_secs(due),
-        give_up: now + Duration::from_secs(60),
+        expires: now + Duration::from_secs(60),
         max_attempts: 3,
         items: items.iter().map(|id| item(id)).collect(),
     }
@@ -42,12 +42,12 @@
 }
 
 fn start_next(table: &mut JobTable) -> Option<(String, usize, ItemProgress)> {
-    let start = table.next(|_| true, Instant::now())?;
+    let start = table.start_next(|_| true, Instant::now())?;
     Some((start.job.to_string(), start.index, start.progress))
 }
 
 fn progress(last: u64) -> ItemProgress {
-    ItemProgress { last_event: Some(last), text: "x".into(), ran: Duration::from_secs(1) }
+    ItemProgress { last_event: Some(last), text: "x".into(), run_time: Duration::from_secs(1) }
 }
 
 /// Many jobs wait and some can no longer finish in time. If their items ran first, the jobs that still
@@ -68,7 +68,7 @@
     let mut table = table(vec![job("j", 10, &["a"])]);
     let first = start_next(&mut table);
 
-    let given_up = table.fail("j", 0, ItemFailure::GaveWay, progress(7), Instant::now());
+    let given_up = table.fail("j", 0, ItemFailure::Preempted, progress(7), Instant::now());
     let second = start_next(&mut table);
 
     assert_eq!(first.map(|started| started.2.last_event), Some(None));
@@ -113,7 +113,7 @@
     let mut table = table(vec![job("j", 10, &["a"])]);
     for _ in 0..3 {
         start_next(&mut table);
-        table.fail("j", 0, ItemFailure::Broken, ItemProgress::default(), Instant::now());
+        table.fail("j", 0, ItemFailure::Crashed, ItemProgress::default(), Instant::now());
         advance(Duration::from_millis(200)).await;
     }
 
@@ -137,7 +137,7 @@
     while starts.len() < 7 {
         if start_next(&mut table).is_some() {
             starts.push(started_at.elapsed().as_millis() / 100);
-            table.fail("j", 0, ItemFailure::Broken, ItemProgress::default(), Instant::now());
+            table.fail("j", 0, ItemFailure::Crashed, ItemProgress::default(), Instant::now());
         }
         advance(Duration::from_millis(50)).await;
     }
@@ -151,7 +151,7 @@
     assert_eq!(table.get("j").map(|job| job.unfinished_tokens()), Some(20));
 
     advance(Duration::from_secs(61)).await;
-    let given_up = table.drop_expired(Instant::now());
+    let given_up = table.give_up_expired(Instant::now());
 
     assert_eq!(given_up.len(), 2);
     assert_eq!(
@@ -180,13 +180,13 @@
     let mut table = table(vec![job("j", 20, &["a", "b"])]);
     start_next(&mut table);
     start_next(&mut table);
-    let little = ItemProgress { ran: Duration::from_millis(100), ..progress(5) };
+    let little = ItemProgress { run_time: Duration::from_millis(100), ..progress(5) };
     table.record_progress("j", 0, &progress(40));
     table.record_progress("j", 1, &little);
 
-    let first = table.unsaved(min_run_time);
+    let first = table.unsaved_progress(min_run_time);
     table.mark_saved("j", 0, &progress(40));
-    let second = table.unsaved(min_run_time);
+    let second = table.unsaved_progress(min_run_time);
 
     let listed: Vec<usize> = first[0].items.iter().map(|item| item.0).collect();
     assert_eq!(listed, [0]);
@@ -217,8 +217,8 @@
     for index in 0..8 {
         start_next(&mut table);
         advance(Duration::from_secs(10)).await;
-        let ran = ItemProgress { ran: Duration::from_secs(5), ..progress(9) };
-        table.complete("measured", index, ran, Instant::now());
+        let finished = ItemProgress { run_time: Duration::from_secs(5), ..progress(9) };
+        table.complete("measured", index, finished, Instant::now());
     }
     table.add(job("less", 6, &["x"]), &[], vec![]);
     table.add(job("more", 15, &["y"]), &[], vec![]);
--- a/crates/cuminramp-fleet/src/lib.rs
+++ b/crates/cuminramp-fleet/src/lib.rs
@@ -38,7 +38,7 @@
 mod slots;
 mod steering;
 
-pub use acceptance::{AcceptanceStep, AcceptanceView, FoundJob};
+pub use acceptance::{AcceptanceStep, AcceptanceView, JobRowOwner};
 pub use declarations::{
     CallerLimits, DeclarationStore, FleetDeclarations, PoolRule, PoolShare, RouteKind, RouteRule,
     TeamRule,
@@ -51,7 +51,7 @@
 pub use homes::{RegionMap, ZoneLimit};
 pub use jobs::{
     FinishedItem, HeldJob, ItemFailure, ItemOutcome, ItemProgress, ItemSpec, ItemStart, JobPolicy,
-    JobSpec, JobTable, UnsavedJob,
+    JobSpec, JobTable, UnsavedProgress,
 };
 pub use message::HostMessage;
 pub use outliers::{OutlierChange, TargetOutcomes};
--- a/crates/cuminramp-fleet/src/outliers/tests.rs
+++ b/crates/cuminramp-fleet/src/outliers/tests.rs
@@ -98,7 +98,7 @@
         slots: 8,
         phase: TargetPhase::Serving,
         started_at_ms: 1,
-        cold_for: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
     }
 }
 
--- a/crates/cuminramp-fleet/src/peers.rs
+++ b/crates/cuminramp-fleet/src/peers.rs
@@ -21,7 +21,7 @@
 pub struct PeerPolicy {
     /// Time without a heartbeat after which a host's jobs are taken over. If it is less than twice the
     /// timeout after which the host is silent, twice that timeout applies.
-    pub lost: Duration,
+    pub lost_timeout: Duration,
 }
 
 /// State of one other host.
@@ -63,7 +63,7 @@
     }
 
     /// Returns the local host.
-    pub fn me(&self) -> &KnownHost {
+    pub fn local_host(&self) -> &KnownHost {
         &self.local
     }
 
@@ -182,31 +182,35 @@
             return record.host.incarnation > id.incarnation || record.has_left;
         }
         let last_seen = record.last_heartbeat_at.unwrap_or(record.discovered_at);
-        now.duration_since(last_seen) > self.policy.lost.max(self.timeout(record) * 2)
+        now.duration_since(last_seen) > self.policy.lost_timeout.max(self.timeout(record) * 2)
     }
 
     /// Returns whether at least half of all hosts are alive, the local host included. With fewer, the local
     /// host is itself presumed to be cut off and must not take over the work of others.
-    pub fn has_majority(&self, now: Instant) -> bool {
+    pub fn has_at_least_half(&self, now: Instant) -> bool {
         let (alive, all) = self.count_alive(now);
         alive * 2 >= all
     }
 
     /// Returns the alive hosts that accept requests, with their zones. Includes the local host if
     /// `is_local_ready`.
-    pub fn live(&self, is_local_ready: bool, now: Instant) -> Vec<(HostId, &AvailabilityZone)> {
-        let mut live = Vec::new();
+    pub fn ready_hosts(
+        &self,
+        is_local_ready: bool,
+        now: Instant,
+    ) -> Vec<(HostId, &AvailabilityZone)> {
+        let mut ready = Vec::new();
         if is_local_ready {
             let address = self.local.address.clone();
-            live.push((HostId { address, incarnation: self.local.incarnation }, &self.local.zone));
+            ready.push((HostId { address, incarnation: self.local.incarnation }, &self.local.zone));
         }
         for record in self.peers.values() {
             let is_ready = record.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.is_ready);
             if is_ready && !record.has_left && self.is_alive(record, now) {
-                live.push((record.id(), &record.host.zone));
+                ready.push((record.id(), &record.host.zone));
             }
         }
-        live
+        ready
     }
 
     /// Returns an alive host that can reach the store, for use by a local host that can't. A host of the
@@ -288,7 +292,7 @@
             }
         }
         let is_alone = live.len() <= 1;
-        if is_alone || !self.has_majority(now) {
+        if is_alone || !self.has_at_least_half(now) {
             let candidates = self.peers.values().filter(|record| !record.has_left);
             let recent = candidates.filter(|record| {
                 let last_seen = record.last_heartbeat_at.unwrap_or(record.discovered_at);
--- a/crates/cuminramp-fleet/src/peers/tests.rs
+++ b/crates/cuminramp-fleet/src/peers/tests.rs
@@ -12,8 +12,8 @@
     SteeringArea { zone: zone.into(), ..SteeringArea::default() }
 }
 
-fn steer(table: &PeerTable, zone: &str, min_near: usize) -> Vec<Name> {
-    let bounds = SteeringBounds { min_near, max_hosts: 64 };
+fn steer(table: &PeerTable, zone: &str, min_near_hosts: usize) -> Vec<Name> {
+    let bounds = SteeringBounds { min_near_hosts, max_hosts: 64 };
     table.steer(&area(zone), true, bounds, &mut SeededRandom::new(1), Instant::now())
 }
 
@@ -26,12 +26,12 @@
 /// Returns the hosts for callers in zone `z1` of a region with the zones `z1` and `z2`.
 fn steer_in_region(table: &PeerTable) -> Vec<Name> {
     let area = SteeringArea { region_zones: vec!["z1".into(), "z2".into()], ..area("z1") };
-    let bounds = SteeringBounds { min_near: 2, max_hosts: 64 };
+    let bounds = SteeringBounds { min_near_hosts: 2, max_hosts: 64 };
     table.steer(&area, true, bounds, &mut SeededRandom::new(1), Instant::now())
 }
 
 fn table() -> PeerTable {
-    let policy = PeerPolicy { lost: Duration::from_millis(1_500) };
+    let policy = PeerPolicy { lost_timeout: Duration::from_millis(1_500) };
     PeerTable::new(known("a", 1, "z1"), policy)
 }
 
@@ -78,7 +78,9 @@
     assert!(!table.is_lost(&id(2), Instant::now()));
     advance(Duration::from_millis(1_600)).await;
     assert!(table.is_lost(&id(2), Instant::now()));
-    assert!(!table.has_majority(Instant::now()) || table.count_alive(Instant::now()) == (1, 2));
+    assert!(
+        !table.has_at_least_half(Instant::now()) || table.count_alive(Instant::now()) == (1, 2)
+    );
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/cuminramp-fleet/src/placement.rs
+++ b/crates/cuminramp-fleet/src/placement.rs
@@ -58,7 +58,7 @@
     /// Start of this run in milliseconds of Unix time; 0 if the target doesn't report it.
     pub started_at_ms: u64,
     /// Remaining time for which the target is cold, as it last reported it.
-    pub cold_for: Duration,
+    pub cold_remaining: Duration,
 }
 
 impl FleetTarget {
@@ -153,7 +153,7 @@
     /// time.
     Full(Duration),
     /// The pool has no target that accepts work.
-    Nowhere,
+    NoTarget,
 }
 
 #[derive(Debug)]
@@ -276,7 +276,7 @@
                 entry.orphaned = OrphanedWork::none(now);
                 self.outliers.forget(name_hash(&target.id));
             }
-            entry.extend_cold(target.cold_for, now);
+            entry.extend_cold(target.cold_remaining, now);
             entry.target = target;
             entry.group_hash = group_hash;
             entry.is_drained = is_drained;
@@ -303,7 +303,7 @@
             sends: VecDeque::new(),
             target,
         };
-        entry.extend_cold(entry.target.cold_for, now);
+        entry.extend_cold(entry.target.cold_remaining, now);
         self.entries.insert(entry.target.id.clone(), entry);
     }
 
@@ -416,7 +416,7 @@
     }
 
     /// Records the time for which a request held its slot.
-    pub fn record_hold(&mut self, hold_time: Duration) {
+    pub fn record_hold_time(&mut self, hold_time: Duration) {
         let average = self.average_hold.as_secs_f64() * (1.0 - HOLD_TIME_WEIGHT)
             + hold_time.as_secs_f64() * HOLD_TIME_WEIGHT;
         self.average_hold = Duration::from_secs_f64(average);
--- a/crates/cuminramp-fleet/src/placement/cold.rs
+++ b/crates/cuminramp-fleet/src/placement/cold.rs
@@ -30,7 +30,7 @@
     /// Maximum number of requests a second at each target; 0 for no limit.
     pub requests_per_s: f64,
     /// Time for which a target stays cold after its start.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// Excess over a [`ColdRule`] that operators tolerate.
@@ -48,7 +48,7 @@
     /// The share of the group's owner.
     Owner,
     /// One request a second at each of these targets, given by their hashes, without an owner's grant.
-    Alone(Vec<u32>),
+    WithoutOwner(Vec<u32>),
 }
 
 /// Maximum numbers of requests at one cold target within [`RATE_WINDOW`]: those up to which its owner
@@ -110,7 +110,7 @@
     /// Returns the time for which a target of the pool is treated as cold where it may be cold without
     /// having reported it.
     pub(super) fn cold_duration(&self, pool: &str) -> Duration {
-        self.cold_rules.get(pool).map_or(Duration::ZERO, |rule| rule.lasts)
+        self.cold_rules.get(pool).map_or(Duration::ZERO, |rule| rule.duration)
     }
 
     /// Returns the number of requests that a target may receive now.
@@ -125,7 +125,7 @@
         };
         let max = match share {
             ColdShare::Owner => limits.owner,
-            ColdShare::Alone(targets) => usize::from(targets.contains(&entry.hash)),
+            ColdShare::WithoutOwner(targets) => usize::from(targets.contains(&entry.hash)),
         };
         max.saturating_sub(entry.sends_in_window(now))
     }
@@ -143,7 +143,7 @@
         };
         match share {
             ColdShare::Owner => limits.items.saturating_sub(entry.sends_in_window(now)),
-            ColdShare::Alone(_) => 0,
+            ColdShare::WithoutOwner(_) => 0,
         }
     }
 
--- a/crates/cuminramp-fleet/src/placement/group.rs
+++ b/crates/cuminramp-fleet/src/placement/group.rs
@@ -31,7 +31,7 @@
     /// No slot is free; the request would have to wait this long for one.
     Busy(Duration),
     /// The group has no target that accepts work.
-    Empty,
+    NoTarget,
 }
 
 impl PlacementTable {
@@ -61,7 +61,7 @@
         }
         match self.shortest_queue(&available, random) {
             None => {
-                self.cold_wait(&usable, now).map_or(GroupPlacement::Empty, GroupPlacement::Busy)
+                self.cold_wait(&usable, now).map_or(GroupPlacement::NoTarget, GroupPlacement::Busy)
             }
             Some((_, entry)) if request.may_queue => GroupPlacement::Slot(entry.hash),
             Some((wait, _)) => GroupPlacement::Busy(wait),
@@ -69,7 +69,7 @@
     }
 
     /// Returns the targets of a group with free slots for batch items, and the number of those slots.
-    pub(crate) fn free_for_items(
+    pub(crate) fn free_batch_slots(
         &self,
         group: &SlotGroup,
         share: &ColdShare,
@@ -97,7 +97,7 @@
 
     /// Returns the targets of a group with more work than slots: the target, the number of items to
     /// preempt, and the number of this host's items there.
-    pub(crate) fn overfull(&self, group: &SlotGroup) -> Vec<(u32, u32, u32)> {
+    pub(crate) fn overcommitted(&self, group: &SlotGroup) -> Vec<(u32, u32, u32)> {
         let hash = group.hash();
         let entries = self.entries.values().filter(|entry| entry.group_hash == hash);
         let over = entries.map(|entry| {
@@ -125,17 +125,17 @@
     }
 
     /// Returns the group with this hash.
-    pub fn group_of(&self, hash: u32) -> Option<&SlotGroup> {
+    pub fn group_by_hash(&self, hash: u32) -> Option<&SlotGroup> {
         self.groups.get(&hash)
     }
 
     /// Returns the target with this hash.
-    pub fn by_hash(&self, hash: u32) -> Option<&FleetTarget> {
+    pub fn target_by_hash(&self, hash: u32) -> Option<&FleetTarget> {
         self.hashes.get(&hash).and_then(|id| self.get(id))
     }
 
     /// Returns the target of a grant, unless it is unknown to this host or no longer accepts work.
-    pub fn granted(&self, hash: u32) -> Option<&FleetTarget> {
+    pub fn granted_target(&self, hash: u32) -> Option<&FleetTarget> {
         let entry = self.hashes.get(&hash).and_then(|id| self.entries.get(id));
         entry.filter(|entry| entry.accepts_work()).map(|entry| &entry.target)
     }
--- a/crates/cuminramp-fleet/src/placement/orphans.rs
+++ b/crates/cuminramp-fleet/src/placement/orphans.rs
@@ -124,7 +124,7 @@
     }
 
     /// Reduces orphaned work by what should have ended by `now`.
-    pub fn fade_orphaned(&mut self, now: Instant) {
+    pub fn decay_orphaned(&mut self, now: Instant) {
         for (_, entry) in self.entries.iter_mut() {
             entry.orphaned.decay(now);
         }
--- a/crates/cuminramp-fleet/src/placement/placing.rs
+++ b/crates/cuminramp-fleet/src/placement/placing.rs
@@ -59,7 +59,7 @@
         random: &mut dyn RandomSource,
     ) -> PlacementDecision {
         let Some((wait, entry)) = self.shortest_queue(available, random) else {
-            return PlacementDecision::Nowhere;
+            return PlacementDecision::NoTarget;
         };
         if wait <= request.objective.mul_f64(self.policy.wait_share) || request.is_retry {
             return PlacementDecision::Send(entry.target.clone());
--- a/crates/cuminramp-fleet/src/placement/tests.rs
+++ b/crates/cuminramp-fleet/src/placement/tests.rs
@@ -26,7 +26,7 @@
         slots: 8,
         phase: TargetPhase::Serving,
         started_at_ms: 1,
-        cold_for: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
     }
 }
 
@@ -120,7 +120,7 @@
     placement.put(FleetTarget { phase: TargetPhase::Draining, ..target("e1", "z1") });
 
     let decision = try_place(&placement);
-    assert_eq!(decision, PlacementDecision::Nowhere);
+    assert_eq!(decision, PlacementDecision::NoTarget);
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/cuminramp-fleet/src/quota.rs
+++ b/crates/cuminramp-fleet/src/quota.rs
@@ -36,13 +36,13 @@
 }
 
 /// Excess over a team's rate and burst that operators tolerate within a window: `share` of the requests
-/// that the limits allow in the window, plus `requests`.
+/// that the limits allow in the window, plus `extra_requests`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaTolerance {
     /// Tolerated excess, as a fraction of the requests that the limits allow in the window.
     pub share: f64,
     /// Number of requests tolerated in addition to that fraction.
-    pub requests: f64,
+    pub extra_requests: f64,
     /// Length of the window.
     pub window: Duration,
 }
@@ -109,7 +109,7 @@
 
     fn start_level(&self, tolerance: &QuotaTolerance) -> f64 {
         let allowed = self.rate * tolerance.window.as_secs_f64() + self.burst;
-        let tolerated = tolerance.share * allowed + tolerance.requests;
+        let tolerated = tolerance.share * allowed + tolerance.extra_requests;
         (START_SHARE * tolerated).min(self.burst)
     }
 }
--- a/crates/cuminramp-fleet/src/quota/tests.rs
+++ b/crates/cuminramp-fleet/src/quota/tests.rs
@@ -18,8 +18,13 @@
 const WINDOW: u64 = 5;
 
 fn declarations() -> FleetDeclarations {
-    let team =
-        TeamRule { name: "team-a".into(), keys: vec![], rate: RATE, burst: BURST, homes: vec![] };
+    let team = TeamRule {
+        name: "team-a".into(),
+        keys: vec![],
+        rate: RATE,
+        burst: BURST,
+        home_regions: vec![],
+    };
     FleetDeclarations::new(1, CallerLimits::default(), vec![], vec![], vec![team])
 }
 
@@ -28,7 +33,7 @@
 }
 
 fn example_tolerance() -> QuotaTolerance {
-    QuotaTolerance { share: 0.1, requests: 20.0, window: Duration::from_secs(WINDOW) }
+    QuotaTolerance { share: 0.1, extra_requests: 20.0, window: Duration::from_secs(WINDOW) }
 }
 
 fn table_with(tolerance: QuotaTolerance) -> QuotaTable {
--- a/crates/cuminramp-fleet/src/quota/tests/partition.rs
+++ b/crates/cuminramp-fleet/src/quota/tests/partition.rs
@@ -37,12 +37,12 @@
 }
 
 fn host(index: usize, (rate, burst): (f64, f64)) -> FleetHost {
-    let rule = TeamRule { name: team(), keys: vec![], rate, burst, homes: vec![] };
+    let rule = TeamRule { name: team(), keys: vec![], rate, burst, home_regions: vec![] };
     let declarations =
         FleetDeclarations::new(1, CallerLimits::default(), vec![], vec![], vec![rule]);
     let mut table = QuotaTable::new(example_tolerance(), Instant::now());
     table.set_limits(&declarations, Instant::now());
-    let policy = PeerPolicy { lost: Duration::from_millis(1_500) };
+    let policy = PeerPolicy { lost_timeout: Duration::from_millis(1_500) };
     let peers = PeerTable::new(known_host(index), policy);
     FleetHost { table, peers, sequence: 0, has_admitted: false }
 }
--- a/crates/cuminramp-fleet/src/row_cache.rs
+++ b/crates/cuminramp-fleet/src/row_cache.rs
@@ -199,7 +199,7 @@
 
     /// Removes the rows whose removal is due and that were not written again in the meantime. Returns these
     /// removals.
-    pub fn take_due(&mut self, now: Instant) -> Vec<RowAction> {
+    pub fn remove_due(&mut self, now: Instant) -> Vec<RowAction> {
         let due = self.pending_removals.iter().filter(|(_, (due_at, _))| *due_at <= now);
         let expired: Vec<(String, u64)> =
             due.map(|(key, (_, version))| (key.clone(), *version)).collect();
--- a/crates/cuminramp-fleet/src/row_cache/tests.rs
+++ b/crates/cuminramp-fleet/src/row_cache/tests.rs
@@ -49,9 +49,9 @@
     let immediate = cache.apply_changes(deletions, 12, false, Instant::now());
     advance(Duration::from_millis(1_000)).await;
     cache.apply_changes(vec![changed("a", 13, false)], 13, false, Instant::now());
-    let early = cache.take_due(Instant::now());
+    let early = cache.remove_due(Instant::now());
     advance(Duration::from_millis(1_500)).await;
-    let due = cache.take_due(Instant::now());
+    let due = cache.remove_due(Instant::now());
 
     assert_eq!((immediate, early), (vec![], vec![]));
     assert_eq!(due.len(), 3);
@@ -66,7 +66,7 @@
 
     cache.apply_changes(vec![changed("a", 12, true)], 12, true, Instant::now());
     advance(Duration::from_millis(1_800)).await;
-    cache.take_due(Instant::now());
+    cache.remove_due(Instant::now());
 
     assert_eq!(keys(&cache), ["b"]);
 }
@@ -81,7 +81,7 @@
 
     cache.apply_updates(vec![row("a", 1), row("b", 2)], 13);
     advance(Duration::from_millis(1_800)).await;
-    let due = cache.take_due(Instant::now());
+    let due = cache.remove_due(Instant::now());
 
     assert_eq!(due, [RowAction::Remove { key: "a".into(), version: 12 }]);
 }
@@ -105,7 +105,7 @@
     cache.apply_snapshot(vec![row("a", 1)], 11, Instant::now());
     advance(Duration::from_secs(5)).await;
 
-    assert_eq!(cache.take_due(Instant::now()), []);
+    assert_eq!(cache.remove_due(Instant::now()), []);
     assert_eq!(keys(&cache), ["a", "b"]);
 }
 
@@ -114,9 +114,9 @@
     let mut cache = cache(&["a", "b"]);
 
     cache.apply_snapshot(vec![row("a", 1)], 12, Instant::now());
-    let early = cache.take_due(Instant::now());
+    let early = cache.remove_due(Instant::now());
     advance(Duration::from_millis(2_300)).await;
-    let due = cache.take_due(Instant::now());
+    let due = cache.remove_due(Instant::now());
 
     assert_eq!(early, []);
     assert_eq!(due, [RowAction::Remove { key: "b".into(), version: 12 }]);
--- a/crates/cuminramp-fleet/src/schedule.rs
+++ b/crates/cuminramp-fleet/src/schedule.rs
@@ -120,7 +120,7 @@
     }
 
     /// Returns the earlier of the two due times.
-    pub fn next(&self) -> Instant {
+    pub fn next_due(&self) -> Instant {
         self.near_due.min(self.far_due)
     }
 
--- a/crates/cuminramp-fleet/src/schedule/tests.rs
+++ b/crates/cuminramp-fleet/src/schedule/tests.rs
@@ -21,7 +21,7 @@
     let mut received = [Instant::now(); 2];
 
     for _ in 0..200 {
-        advance(timer.next().saturating_duration_since(Instant::now())).await;
+        advance(timer.next_due().saturating_duration_since(Instant::now())).await;
         let due = timer.take_due(&schedule, Instant::now());
         for (index, is_due) in [due.0, due.1].into_iter().enumerate() {
             let timeout = schedule.timeout(index == 0);
@@ -49,8 +49,8 @@
     timer.take_due(&schedule, Instant::now());
     let (end, mut sent) = (Instant::now() + Duration::from_secs(4), 0);
 
-    while timer.next() < end {
-        advance(timer.next().saturating_duration_since(Instant::now())).await;
+    while timer.next_due() < end {
+        advance(timer.next_due().saturating_duration_since(Instant::now())).await;
         let (is_near_due, _) = timer.take_due(&schedule, Instant::now());
         sent += usize::from(is_near_due) * (near - 1);
     }
@@ -75,7 +75,7 @@
     for _ in 0..20_000 {
         advance(Duration::from_micros(100)).await;
         timer.bring_forward(&schedule, Instant::now());
-        if timer.next() <= Instant::now() {
+        if timer.next_due() <= Instant::now() {
             let due = timer.take_due(&schedule, Instant::now());
             sent += usize::from(due.0) * (near - 1) + usize::from(due.1) * (hosts - near);
         }
--- a/crates/cuminramp-fleet/src/slots/ledger.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger.rs
@@ -198,7 +198,7 @@
 
     /// Responds to a slot request. A repeated request gets the same response: the first one was lost, and a
     /// second granted slot would stay unused.
-    pub fn answer(
+    pub fn respond(
         &mut self,
         placement: &mut PlacementTable,
         host: &HostId,
@@ -209,10 +209,9 @@
     ) -> SlotResponse {
         self.record_ownership(request.group, now);
         self.responses.retain(|cached| now.duration_since(cached.cached_at) < RESPONSE_TTL);
-        let cached = self
-            .responses
-            .iter()
-            .find(|cached| cached.response.request == request.request && cached.host == *host);
+        let cached = self.responses.iter().find(|cached| {
+            cached.response.request_id == request.request_id && cached.host == *host
+        });
         if let Some(cached) = cached {
             return cached.response;
         }
@@ -230,9 +229,9 @@
                 SlotOutcome::Granted { target, grant }
             }
             GroupPlacement::Busy(wait) => SlotOutcome::Busy { wait_ms: wait.as_millis() as u32 },
-            GroupPlacement::Empty => SlotOutcome::Empty,
+            GroupPlacement::NoTarget => SlotOutcome::NoTarget,
         };
-        let response = SlotResponse { request: request.request, outcome };
+        let response = SlotResponse { request_id: request.request_id, outcome };
         self.responses.push(CachedResponse { host: host.clone(), response, cached_at: now });
         response
     }
@@ -240,7 +239,7 @@
     /// Drops unused grants, accounts of silent hosts and ownerships that were not renewed, and lets orphaned
     /// work decay.
     pub fn expire(&mut self, placement: &mut PlacementTable, now: Instant) {
-        placement.fade_orphaned(now);
+        placement.decay_orphaned(now);
         let mut changed: Vec<HostId> = Vec::new();
         self.accounts.retain(|(host, _), account| {
             let pending_before = account.pending.len();
--- a/crates/cuminramp-fleet/src/slots/ledger/items.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger/items.rs
@@ -68,7 +68,7 @@
         if demands.is_empty() {
             return grants;
         }
-        let mut free = placement.free_for_items(group, share, now);
+        let mut free = placement.free_batch_slots(group, share, now);
         let reserved = self.owned.get_mut(&hash).map_or(0, |owned| owned.reserved_slots(now));
         let capacity = free.iter().map(|(_, slots)| slots).sum::<u32>().saturating_sub(reserved);
         let mut shares = allocate_slots(capacity, &demands);
@@ -123,7 +123,7 @@
     fn compute_limits(&self, placement: &PlacementTable, group: &SlotGroup) -> Vec<ItemLimit> {
         let hash = group.hash();
         let mut limits = Vec::new();
-        for (target, excess, own_items) in placement.overfull(group) {
+        for (target, excess, own_items) in placement.overcommitted(group) {
             let mut excess = excess;
             let own = (own_items > 0).then(|| (self.me.clone(), own_items));
             let others = self.accounts.iter().filter(|((_, id), _)| *id == hash);
--- a/crates/cuminramp-fleet/src/slots/message.rs
+++ b/crates/cuminramp-fleet/src/slots/message.rs
@@ -66,7 +66,7 @@
     pub incarnation: Incarnation,
     /// Number of the slot request, unique within the incarnation. A repeated slot request keeps its number
     /// and gets the same response.
-    pub request: u64,
+    pub request_id: u64,
     /// The group, as returned by [`SlotGroup::hash`].
     pub group: u32,
     /// Targets that the owner must not choose: the request was sent there before, or the host cannot reach
@@ -92,14 +92,14 @@
         wait_ms: u32,
     },
     /// The group has no target that accepts work.
-    Empty,
+    NoTarget,
 }
 
 /// Response to a slot request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SlotResponse {
     /// Number of the slot request.
-    pub request: u64,
+    pub request_id: u64,
     /// The owner's decision.
     pub outcome: SlotOutcome,
 }
--- a/crates/cuminramp-fleet/src/slots/owners.rs
+++ b/crates/cuminramp-fleet/src/slots/owners.rs
@@ -77,12 +77,12 @@
     /// zone, or among all live hosts if the zone has none. Returns `None` if no host may own the group, not
     /// even this one.
     ///
-    /// `is_me_ready` is whether this host takes requests, so that it may own groups itself.
+    /// `is_local_ready` is whether this host takes requests, so that it may own groups itself.
     pub fn owner(
         &mut self,
         group: &SlotGroup,
         peers: &PeerTable,
-        is_me_ready: bool,
+        is_local_ready: bool,
         now: Instant,
     ) -> Option<HostId> {
         if let Some((owner, at)) = self.selections.get(group)
@@ -90,7 +90,7 @@
         {
             return owner.clone();
         }
-        let owner = self.select(group, peers, is_me_ready, now);
+        let owner = self.select(group, peers, is_local_ready, now);
         self.selections.insert(group.clone(), (owner.clone(), now));
         owner
     }
@@ -99,11 +99,11 @@
         &self,
         group: &SlotGroup,
         peers: &PeerTable,
-        is_me_ready: bool,
+        is_local_ready: bool,
         now: Instant,
     ) -> Option<HostId> {
-        let live = peers.live(is_me_ready, now);
-        let candidates = live.iter().filter(|(id, _)| !self.is_excluded(id, now));
+        let ready = peers.ready_hosts(is_local_ready, now);
+        let candidates = ready.iter().filter(|(id, _)| !self.is_excluded(id, now));
         let key = group.key();
         let ranked = candidates.map(|(id, zone)| {
             let is_in_zone = **zone == group.zone;
--- a/crates/cuminramp-fleet/src/slots/reports.rs
+++ b/crates/cuminramp-fleet/src/slots/reports.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns the time at which the next report is due.
-    pub fn next(&self) -> Option<Instant> {
+    pub fn next_due(&self) -> Option<Instant> {
         self.groups.values().map(|times| times.due).min()
     }
 
--- a/crates/cuminramp-fleet/src/slots/search.rs
+++ b/crates/cuminramp-fleet/src/slots/search.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SearchStep {
     /// Send a slot request to the owner of this group.
-    Ask {
+    Request {
         /// The group.
         group: SlotGroup,
         /// Whether the request accepts a place in a target's queue.
@@ -27,7 +27,7 @@
     /// Refuse the request, which would wait too long at every target. A slot may be free after this time.
     Refuse(Duration),
     /// No group has a target that accepts work.
-    Nowhere,
+    NoTarget,
 }
 
 /// Limits of the wait of a request for a slot.
@@ -87,16 +87,16 @@
     /// let mut random = SeededRandom::new(1);
     /// let mut search = SlotSearch::new(vec![group.clone()], "z", &mut random);
     /// let limits = SearchLimits { max_wait: Duration::from_millis(180), is_retry: false };
-    /// assert_eq!(search.next(limits, &mut random), SearchStep::Ask { group: group.clone(), may_queue: false });
+    /// assert_eq!(search.next(limits, &mut random), SearchStep::Request { group: group.clone(), may_queue: false });
     /// search.receive(SlotOutcome::Busy { wait_ms: 90 });
-    /// assert_eq!(search.next(limits, &mut random), SearchStep::Ask { group, may_queue: true });
+    /// assert_eq!(search.next(limits, &mut random), SearchStep::Request { group, may_queue: true });
     /// ```
     pub fn next(&mut self, limits: SearchLimits, random: &mut dyn RandomSource) -> SearchStep {
         if let Some(group) = self.remaining.pop() {
             self.asked = Some(group.clone());
-            return SearchStep::Ask { group, may_queue: false };
+            return SearchStep::Request { group, may_queue: false };
         }
-        let Some((wait, group)) = self.shortest.take() else { return SearchStep::Nowhere };
+        let Some((wait, group)) = self.shortest.take() else { return SearchStep::NoTarget };
         if self.is_queueing {
             // The group with the shortest wait did not queue the request.
             return SearchStep::Refuse(retry_after(wait, random));
@@ -104,7 +104,7 @@
         if wait <= limits.max_wait || limits.is_retry {
             self.is_queueing = true;
             self.asked = Some(group.clone());
-            return SearchStep::Ask { group, may_queue: true };
+            return SearchStep::Request { group, may_queue: true };
         }
         SearchStep::Refuse(retry_after(wait, random))
     }
--- a/crates/cuminramp-fleet/src/slots/tests.rs
+++ b/crates/cuminramp-fleet/src/slots/tests.rs
@@ -35,7 +35,7 @@
         slots: 8,
         phase: TargetPhase::Serving,
         started_at_ms: 1,
-        cold_for: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
     }
 }
 
@@ -89,7 +89,7 @@
         let (placement, random) = (&mut self.placement, &mut self.random);
         let now = Instant::now();
         let owned = GroupShare { group: &group(), share: &ColdShare::Owner };
-        self.ledger.answer(placement, &host(from), owned, slot_request, random, now)
+        self.ledger.respond(placement, &host(from), owned, slot_request, random, now)
     }
 
     fn request_slot(&mut self, from: &str, may_queue: bool) -> SlotOutcome {
@@ -122,7 +122,13 @@
 }
 
 fn make_request(request: u64, may_queue: bool) -> SlotRequest {
-    SlotRequest { incarnation: 1, request, group: group().hash(), avoided: vec![], may_queue }
+    SlotRequest {
+        incarnation: 1,
+        request_id: request,
+        group: group().hash(),
+        avoided: vec![],
+        may_queue,
+    }
 }
 
 /// Waits until a new owner may grant slots to items.
--- a/crates/cuminramp-fleet/src/slots/tests/cold.rs
+++ b/crates/cuminramp-fleet/src/slots/tests/cold.rs
@@ -26,14 +26,14 @@
 const HOSTS: usize = 80;
 
 fn cold_target(id: &str) -> FleetTarget {
-    FleetTarget { cold_for: COLD_DURATION, ..target(id) }
+    FleetTarget { cold_remaining: COLD_DURATION, ..target(id) }
 }
 
 fn owner(targets: &[FleetTarget]) -> Owner {
     let policy = PlacementPolicy { cold_tolerance: TOLERANCE, ..PlacementPolicy::default() };
     let mut owner = Owner::new(&[]);
     owner.placement = PlacementTable::new("z1".into(), policy);
-    let rule = ColdRule { requests_per_s: SUSTAINED_PER_S, lasts: COLD_DURATION };
+    let rule = ColdRule { requests_per_s: SUSTAINED_PER_S, duration: COLD_DURATION };
     owner.placement.set_cold_rules([("p".into(), rule)].into_iter().collect());
     targets.iter().for_each(|target| owner.placement.put(target.clone()));
     owner
@@ -49,7 +49,7 @@
         let now = Instant::now();
         let owned = GroupShare { group: &group(), share };
         let response =
-            owner.ledger.answer(placement, &host("a"), owned, &slot_request, random, now);
+            owner.ledger.respond(placement, &host("a"), owned, &slot_request, random, now);
         if let SlotOutcome::Granted { grant, .. } = response.outcome {
             granted += 1;
             let without_load =
@@ -66,7 +66,7 @@
 async fn two_owners_and_lone_hosts_stay_below_the_limit_of_a_cold_target() {
     let mut owners = [owner(&[cold_target("t1")]), owner(&[cold_target("t1")])];
     let cold_targets = owners[0].placement.cold_targets("p", None, Instant::now());
-    let alone = ColdShare::Alone(vec![name_hash("t1")]);
+    let without_owner = ColdShare::WithoutOwner(vec![name_hash("t1")]);
     let mut hosts: Vec<Owner> = (0..HOSTS).map(|_| owner(&[cold_target("t1")])).collect();
 
     let mut by_quarter = Vec::new();
@@ -74,8 +74,11 @@
         let by_owners: usize =
             owners.iter_mut().map(|owner| request_slots(owner, &ColdShare::Owner, 100)).sum();
         let lone_hosts = cold_targets[0].1;
-        let by_hosts: usize =
-            hosts.iter_mut().take(lone_hosts).map(|host| request_slots(host, &alone, 100)).sum();
+        let by_hosts: usize = hosts
+            .iter_mut()
+            .take(lone_hosts)
+            .map(|host| request_slots(host, &without_owner, 100))
+            .sum();
         by_quarter.push(by_owners + by_hosts);
         advance(Duration::from_millis(250)).await;
     }
@@ -90,7 +93,7 @@
 async fn a_lone_host_sends_nothing_to_a_cold_target_that_it_was_not_drawn_for() {
     let mut host = owner(&[cold_target("t1")]);
 
-    let granted = request_slots(&mut host, &ColdShare::Alone(vec![]), 10);
+    let granted = request_slots(&mut host, &ColdShare::WithoutOwner(vec![]), 10);
 
     assert_eq!(granted, 0);
 }
@@ -103,7 +106,7 @@
     let granted = request_slots(&mut owner, &ColdShare::Owner, 200);
 
     assert_eq!(granted, 200);
-    assert!(owner.placement.by_hash(name_hash("t2")).is_some());
+    assert!(owner.placement.target_by_hash(name_hash("t2")).is_some());
 }
 
 /// Guards against a target that stays limited for good: after its cold time it gets as much as a warm one.
@@ -190,7 +193,7 @@
     let decision = owner.placement.place(&request, &ColdShare::Owner, random, Instant::now());
 
     assert_eq!(items, []);
-    assert_eq!(decision, PlacementDecision::Nowhere);
+    assert_eq!(decision, PlacementDecision::NoTarget);
     assert!(owner.placement.groups("p").is_empty());
-    assert!(owner.placement.granted(name_hash("t1")).is_none());
+    assert!(owner.placement.granted_target(name_hash("t1")).is_none());
 }
--- a/crates/cuminramp-fleet/src/slots/tests/owners.rs
+++ b/crates/cuminramp-fleet/src/slots/tests/owners.rs
@@ -9,7 +9,7 @@
 use crate::slots::OwnerTable;
 
 fn table(me: &str, others: &[(&str, &str)]) -> PeerTable {
-    let policy = PeerPolicy { lost: Duration::from_millis(1_500) };
+    let policy = PeerPolicy { lost_timeout: Duration::from_millis(1_500) };
     let mut table = PeerTable::new(known_host(me, 1, "z1"), policy);
     for (address, zone) in others {
         table.receive_heartbeat(host_heartbeat(known_host(address, 1, zone), 1), Instant::now());
--- a/crates/cuminramp-fleet/src/slots/tests/search.rs
+++ b/crates/cuminramp-fleet/src/slots/tests/search.rs
@@ -23,12 +23,12 @@
     let mut asked = Vec::new();
     loop {
         match search.next(limits, &mut random) {
-            SearchStep::Ask { group, may_queue: false } => {
+            SearchStep::Request { group, may_queue: false } => {
                 let wait = waits.iter().find(|(zone, _)| *zone == &*group.zone);
                 asked.push(group.zone.to_string());
                 search.receive(match wait {
                     Some((_, wait_ms)) => SlotOutcome::Busy { wait_ms: *wait_ms },
-                    None => SlotOutcome::Empty,
+                    None => SlotOutcome::NoTarget,
                 });
             }
             step => return (asked, step),
@@ -51,7 +51,7 @@
 
     assert_eq!(asked[0], "z1");
     assert_eq!(asked.len(), 3);
-    assert_eq!(step, SearchStep::Ask { group: group("z2"), may_queue: true });
+    assert_eq!(step, SearchStep::Request { group: group("z2"), may_queue: true });
 }
 
 /// Guards against callers that wait in vain when more of them arrive than all slots can serve in time. A
@@ -65,7 +65,7 @@
 
     let SearchStep::Refuse(retry_after) = refused else { panic!("{refused:?}") };
     assert!(retry_after >= Duration::from_millis(250), "{retry_after:?}");
-    assert_eq!(retried, SearchStep::Ask { group: group("z2"), may_queue: true });
+    assert_eq!(retried, SearchStep::Request { group: group("z2"), may_queue: true });
 }
 
 /// Guards against requests that are late merely because they ask all of a pool's many zones one after the
@@ -83,10 +83,10 @@
 }
 
 #[test]
-fn a_search_without_targets_ends_with_nowhere() {
+fn a_search_without_targets_ends_with_no_target() {
     let (_, step) = run(&mut search(&["z1"]), limits(false), &[]);
 
-    assert_eq!(step, SearchStep::Nowhere);
+    assert_eq!(step, SearchStep::NoTarget);
 }
 
 /// Guards against a request that uses up its attempts in a zone whose targets were all lost at once.
--- a/crates/cuminramp-fleet/src/steering.rs
+++ b/crates/cuminramp-fleet/src/steering.rs
@@ -14,7 +14,7 @@
     /// Minimum number of live hosts in the caller's zone. With fewer, the caller receives the hosts of a
     /// wider area instead; if it received a single host and that host failed, it couldn't send requests
     /// until it refreshes its list.
-    pub min_near: usize,
+    pub min_near_hosts: usize,
     /// Maximum number of hosts in one response.
     pub max_hosts: usize,
 }
@@ -44,7 +44,7 @@
         random: &mut dyn RandomSource,
     ) -> Vec<Name> {
         let near = addresses(live, |zone| *zone == self.zone);
-        if near.len() >= bounds.min_near {
+        if near.len() >= bounds.min_near_hosts {
             let is_other =
                 |zone: &AvailabilityZone| *zone != self.zone && self.region_zones.contains(zone);
             let others =
--- a/crates/cuminramp-fleet/src/steering/tests.rs
+++ b/crates/cuminramp-fleet/src/steering/tests.rs
@@ -4,7 +4,7 @@
 use crate::fixtures::known_host;
 use crate::heartbeat::KnownHost;
 
-const BOUNDS: SteeringBounds = SteeringBounds { min_near: 2, max_hosts: 64 };
+const BOUNDS: SteeringBounds = SteeringBounds { min_near_hosts: 2, max_hosts: 64 };
 /// Number of hosts that a caller tries: a second one if the first doesn't answer.
 const TRIES: usize = 2;
 const CALLERS: usize = 2_000;
--- a/crates/cuminramp-gateway/src/entry/calls.rs
+++ b/crates/cuminramp-gateway/src/entry/calls.rs
@@ -181,8 +181,8 @@
         log_refusal(head, Some(&route), version, &refusal);
         return Err(refusal);
     };
-    let team_homes = team.map_or(&[][..], |team| &team.homes);
-    let zones = state.regions.limit(&route.homes, team_homes);
+    let team_home_regions = team.map_or(&[][..], |team| &team.home_regions);
+    let zones = state.regions.limit(&route.home_regions, team_home_regions);
     let team = team.map(|team| team.name.clone());
     Ok(AdmittedRequest { parts, head: head.clone(), body, route, team, pool, zones })
 }
--- a/crates/cuminramp-gateway/src/entry/service_points.rs
+++ b/crates/cuminramp-gateway/src/entry/service_points.rs
@@ -23,7 +23,7 @@
 /// Timeout for receiving the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 /// Bounds on the number of hosts that a steering answer names.
-const STEERING_BOUNDS: SteeringBounds = SteeringBounds { min_near: 2, max_hosts: 64 };
+const STEERING_BOUNDS: SteeringBounds = SteeringBounds { min_near_hosts: 2, max_hosts: 64 };
 
 /// Response of a service endpoint.
 type EndpointResponse = Response<Full<Bytes>>;
@@ -67,8 +67,9 @@
 /// Returns the zones by which a caller is steered: its own, those of its region, and those of the home
 /// regions in which its work may run.
 fn steering_area(state: &GatewayState, call: SteeringCall) -> SteeringArea {
-    let homes = state.declared().map_or_else(Vec::new, |declared| declared.homes_of(&call.host));
-    let home_zones = homes.iter().flat_map(|home| state.regions.zones_of(home));
+    let home_regions =
+        state.declared().map_or_else(Vec::new, |declared| declared.home_regions_of(&call.host));
+    let home_zones = home_regions.iter().flat_map(|region| state.regions.zones_of(region));
     SteeringArea {
         region_zones: state.regions.zones_of(&call.region),
         home_zones: home_zones.collect(),
--- a/crates/cuminramp-gateway/src/gateway.rs
+++ b/crates/cuminramp-gateway/src/gateway.rs
@@ -37,7 +37,7 @@
 
 /// Silence after which the jobs of a host are taken over. It is long enough for a process to be killed and
 /// started again, and for a host to be frozen briefly.
-const PEER_POLICY: PeerPolicy = PeerPolicy { lost: Duration::from_millis(1_500) };
+const PEER_POLICY: PeerPolicy = PeerPolicy { lost_timeout: Duration::from_millis(1_500) };
 /// Interval at which silent hosts, missing targets and expired idle connections are handled.
 const UPKEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of upkeep intervals between two log lines with the load: one line in two seconds.
@@ -126,7 +126,7 @@
     let relay = Arc::new(RelayedStore::new(store.clone()));
     let tolerance = QuotaTolerance {
         share: settings.rate_tolerance_share,
-        requests: settings.rate_tolerance_requests,
+        extra_requests: settings.rate_tolerance_requests,
         window: Duration::from_secs_f64(settings.rate_window_s),
     };
     let placement = PlacementPolicy {
--- a/crates/cuminramp-gateway/src/jobs/accept.rs
+++ b/crates/cuminramp-gateway/src/jobs/accept.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use cuminramp_core::{Execution, Name, Refusal, ResultCode, hash_parts};
-use cuminramp_fleet::{AcceptanceStep, AcceptanceView, FoundJob, ItemSpec, JobSpec, RouteRule};
+use cuminramp_fleet::{AcceptanceStep, AcceptanceView, ItemSpec, JobRowOwner, JobSpec, RouteRule};
 use cuminramp_platform::{CommitOutcome, StoreError, Transaction};
 use cuminramp_wire::encode_row;
 use cuminramp_wire::fleet::{GateRow, JobHeader, JobInput, JobItem, JobPhase, JobRow};
@@ -51,7 +51,7 @@
     job_key: String,
     started: Instant,
     /// Whether the outcome of a write is unknown, so that it may still take effect.
-    is_unsettled: bool,
+    has_pending_write: bool,
 }
 
 /// Outcome of a write of the job's row.
@@ -162,8 +162,8 @@
         holder_incarnation: state.me.incarnation,
         fence: 1,
         accepted_ms: now,
-        due_ms: now + route.due.as_millis() as u64,
-        give_up_ms: now + route.keep.as_millis() as u64,
+        due_ms: now + route.due_after.as_millis() as u64,
+        give_up_ms: now + route.item_ttl.as_millis() as u64,
         max_attempts: route.max_attempts,
         total: items.len() as u32,
         listed: 0,
@@ -176,11 +176,11 @@
         row,
         input,
         tokens,
-        max_waiting_tokens: route.waiting_tokens,
+        max_waiting_tokens: route.max_waiting_tokens,
         lock_key: acceptance_lock_key(&caller.team),
         job_key: job_key(&caller.team, id),
         started,
-        is_unsettled: false,
+        has_pending_write: false,
     }
 }
 
@@ -236,7 +236,7 @@
         let lock_version = state.directory.acceptance_lock_version(&draft.row.team);
         match view.next_step() {
             AcceptanceStep::Accepted => return Ok("accepted"),
-            AcceptanceStep::Repeated => return Ok("repeated"),
+            AcceptanceStep::AlreadyAccepted => return Ok("repeated"),
             AcceptanceStep::Refresh => match refresh_directory(state, &draft.row.team).await {
                 Ok(()) => is_fresh = true,
                 Err(error) => {
@@ -250,7 +250,7 @@
                     is_fresh = false;
                 }
                 WriteOutcome::Unknown(error) => {
-                    draft.is_unsettled = true;
+                    draft.has_pending_write = true;
                     reason = error;
                     is_fresh = false;
                 }
@@ -263,18 +263,18 @@
 /// Returns what the directory shows of the job and of its team.
 fn acceptance_view(state: &GatewayState, draft: &JobDraft, is_fresh: bool) -> AcceptanceView {
     let found = match state.directory.get(&draft.row.id) {
-        None => FoundJob::Missing,
-        Some(known) if is_written_by(&known, draft) => FoundJob::Own,
-        Some(_) => FoundJob::Others,
+        None => JobRowOwner::Missing,
+        Some(known) if is_written_by(&known, draft) => JobRowOwner::Own,
+        Some(_) => JobRowOwner::Other,
     };
     AcceptanceView {
         found,
-        waiting: state.directory.waiting_tokens(&draft.row.team, &draft.row.route),
-        tokens: draft.tokens,
-        limit: draft.max_waiting_tokens,
+        waiting_tokens: state.directory.waiting_tokens(&draft.row.team, &draft.row.route),
+        job_tokens: draft.tokens,
+        max_waiting_tokens: draft.max_waiting_tokens,
         is_fresh,
-        is_unsettled: draft.is_unsettled,
-        is_time_up: draft.started.elapsed() >= ACCEPT_TIMEOUT,
+        has_pending_write: draft.has_pending_write,
+        is_past_deadline: draft.started.elapsed() >= ACCEPT_TIMEOUT,
     }
 }
 
@@ -289,11 +289,13 @@
 fn refusal_for(step: AcceptanceStep, view: &AcceptanceView, reason: &str) -> Refusal {
     match step {
         AcceptanceStep::RefuseFull => {
-            let reason =
-                format!("{} tokens are waiting, the limit is {}", view.waiting, view.limit);
+            let reason = format!(
+                "{} tokens are waiting, the limit is {}",
+                view.waiting_tokens, view.max_waiting_tokens
+            );
             Refusal::not_run(ResultCode::RateExceeded, reason).with_retry_after(RETRY_AFTER)
         }
-        AcceptanceStep::LeaveOpen => Refusal::not_run(ResultCode::DeadlineExceeded, reason)
+        AcceptanceStep::RefuseUnknown => Refusal::not_run(ResultCode::DeadlineExceeded, reason)
             .with_execution(Execution::MayHaveRun),
         _ => unavailable(reason),
     }
@@ -411,7 +413,7 @@
         route: row.route.as_str().into(),
         host: row.host.as_str().into(),
         due: at(row.due_ms),
-        give_up: at(row.give_up_ms),
+        expires: at(row.give_up_ms),
         max_attempts: row.max_attempts.max(1),
         items,
     }
--- a/crates/cuminramp-gateway/src/jobs/checkpoint.rs
+++ b/crates/cuminramp-gateway/src/jobs/checkpoint.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use cuminramp_core::Name;
-use cuminramp_fleet::{ItemProgress, UnsavedJob};
+use cuminramp_fleet::{ItemProgress, UnsavedProgress};
 use cuminramp_platform::Transaction;
 use cuminramp_wire::encode_row;
 use cuminramp_wire::fleet::ProgressRow;
@@ -48,7 +48,7 @@
             item: item.to_string(),
             last_event: progress.last_event.unwrap_or(0),
             text: progress.text.clone(),
-            ran_ms: progress.ran.as_millis() as u64,
+            ran_ms: progress.run_time.as_millis() as u64,
         };
         transaction = transaction.put(progress_key(team, job, item), encode_row(&row));
         written.push(index);
@@ -64,7 +64,7 @@
             () = tokio::time::sleep(SAVE_INTERVAL) => {}
             () = state.drain.cancelled() => return,
         }
-        let unsaved = lock(&state.jobs).unsaved(MIN_UNSAVED_RUN);
+        let unsaved = lock(&state.jobs).unsaved_progress(MIN_UNSAVED_RUN);
         for job in unsaved {
             if !save_job(&state, job).await {
                 break;
@@ -78,7 +78,7 @@
 /// The write has no condition, because a late one does no harm. A host that has lost the job meanwhile
 /// writes an earlier part of the same output, and a write after the item's result was listed leaves a row
 /// that is never read.
-async fn save_job(state: &Arc<GatewayState>, unsaved: UnsavedJob) -> bool {
+async fn save_job(state: &Arc<GatewayState>, unsaved: UnsavedProgress) -> bool {
     let items = unsaved.items.iter().map(|(index, item, progress)| (*index, item, progress));
     let (transaction, written) =
         add_progress_rows(Transaction::default(), &unsaved.team, &unsaved.job, items);
--- a/crates/cuminramp-gateway/src/jobs/run.rs
+++ b/crates/cuminramp-gateway/src/jobs/run.rs
@@ -117,7 +117,7 @@
 
 /// Gives up items whose time has passed and lists them.
 fn give_up_expired(state: &Arc<GatewayState>) {
-    let expired = lock(&state.jobs).drop_expired(Instant::now());
+    let expired = lock(&state.jobs).give_up_expired(Instant::now());
     for (job, finished) in expired {
         log::info!(job = &*job, index = finished.index, reason = "expired"; "item-given-up");
         state.writers.send(&job, WriterCommand::List(finished));
@@ -139,9 +139,10 @@
     }
     let Some(declared) = state.declared() else { return false };
     let path = spec.items.first().map_or("", |item| &item.path);
-    let route_homes = declared.find_route(&spec.host, path).map_or(&[][..], |route| &route.homes);
-    let team_homes = declared.team(&spec.team).map_or(&[][..], |team| &team.homes);
-    state.regions.limit(route_homes, team_homes).allows(zone)
+    let route_home_regions =
+        declared.find_route(&spec.host, path).map_or(&[][..], |route| &route.home_regions);
+    let team_home_regions = declared.team(&spec.team).map_or(&[][..], |team| &team.home_regions);
+    state.regions.limit(route_home_regions, team_home_regions).allows(zone)
 }
 
 /// Returns the pools that have waiting items of this host; none while the host drains.
@@ -172,7 +173,7 @@
     let now = Instant::now();
     for started in 0..max_items {
         let accepts = |spec: &JobSpec| may_run_in(state, spec, pool, &target.zone);
-        let Some(start) = lock(&state.jobs).next(accepts, now) else { return started };
+        let Some(start) = lock(&state.jobs).start_next(accepts, now) else { return started };
         start_item(state, start, target.clone());
     }
     max_items
@@ -212,11 +213,11 @@
     let mut progress = start.progress.clone();
     let end = tokio::select! {
         biased;
-        () = stop.cancelled() => RunEnd::Failed(ItemFailure::GaveWay, "cancelled".into()),
+        () = stop.cancelled() => RunEnd::Failed(ItemFailure::Preempted, "cancelled".into()),
         () = state.stop.cancelled() => return,
         end = send_item(&state, &start, run, &mut progress) => end,
     };
-    progress.ran += started.elapsed();
+    progress.run_time += started.elapsed();
     state.running.remove(&start.job, start.index, &target);
     let events = progress.last_event;
     let (label, reason) = match &end {
@@ -237,8 +238,8 @@
 /// Returns the label of a failure in metrics and logs.
 fn failure_label(failure: ItemFailure) -> &'static str {
     match failure {
-        ItemFailure::GaveWay => "gave-way",
-        ItemFailure::Broken => "broken",
+        ItemFailure::Preempted => "gave-way",
+        ItemFailure::Crashed => "broken",
         ItemFailure::Failed => "failed",
         ItemFailure::Impossible => "impossible",
     }
@@ -262,7 +263,7 @@
 
 /// Returns the end of a run whose target stopped working on the item.
 fn broken(reason: impl Into<String>) -> RunEnd {
-    RunEnd::Failed(ItemFailure::Broken, reason.into())
+    RunEnd::Failed(ItemFailure::Crashed, reason.into())
 }
 
 /// Sends an item to its target and reads the response.
@@ -273,7 +274,7 @@
     progress: &mut ItemProgress,
 ) -> RunEnd {
     let Some(spec) = lock(&state.jobs).get(&start.job).map(|job| job.spec().clone()) else {
-        return RunEnd::Failed(ItemFailure::GaveWay, "the job was released".into());
+        return RunEnd::Failed(ItemFailure::Preempted, "the job was released".into());
     };
     let head = TargetHead {
         deadline: Some(ITEM_DEADLINE),
@@ -303,7 +304,7 @@
             read_answer(answer, progress, recorder).await
         }
         Err(failure @ (SendFailure::NotSent(_) | SendFailure::Refused { .. })) => {
-            RunEnd::Failed(ItemFailure::GaveWay, failure.word().into())
+            RunEnd::Failed(ItemFailure::Preempted, failure.word().into())
         }
         Err(failure) => broken(format!("{failure:?}")),
     }
@@ -385,7 +386,7 @@
     index: usize,
     started: Instant,
     /// Target time of earlier runs.
-    ran_before: Duration,
+    run_time_before: Duration,
     recorded: Instant,
 }
 
@@ -397,7 +398,7 @@
             job: start.job.clone(),
             index: start.index,
             started: now,
-            ran_before: progress.ran,
+            run_time_before: progress.run_time,
             recorded: now,
         }
     }
@@ -407,8 +408,8 @@
             return;
         }
         self.recorded = Instant::now();
-        let ran = self.ran_before + self.started.elapsed();
-        let progress = ItemProgress { ran, ..progress.clone() };
+        let run_time = self.run_time_before + self.started.elapsed();
+        let progress = ItemProgress { run_time, ..progress.clone() };
         lock(&self.state.jobs).record_progress(&self.job, self.index, &progress);
     }
 }
--- a/crates/cuminramp-gateway/src/jobs/takeover.rs
+++ b/crates/cuminramp-gateway/src/jobs/takeover.rs
@@ -104,7 +104,7 @@
     let now = Instant::now();
     let peers = lock(&state.peers);
     let has_no_holder = row.holder_address.is_empty();
-    if !has_no_holder && (!peers.is_lost(holder, now) || !peers.has_majority(now)) {
+    if !has_no_holder && (!peers.is_lost(holder, now) || !peers.has_at_least_half(now)) {
         return false;
     }
     let ready = peers.iter().filter(|record| {
@@ -181,7 +181,7 @@
         let progress = ItemProgress {
             last_event: Some(decoded.last_event),
             text: decoded.text,
-            ran: Duration::from_millis(decoded.ran_ms),
+            run_time: Duration::from_millis(decoded.ran_ms),
         };
         saved.push((Name::from(decoded.item), progress));
     }
--- a/crates/cuminramp-gateway/src/online/serve.rs
+++ b/crates/cuminramp-gateway/src/online/serve.rs
@@ -192,11 +192,11 @@
             let target = match self.place().await {
                 PlacementDecision::Send(target) => target,
                 PlacementDecision::Full(retry_after) => return Err(self.refuse_full(retry_after)),
-                PlacementDecision::Nowhere if !self.tried.is_empty() => {
+                PlacementDecision::NoTarget if !self.tried.is_empty() => {
                     self.tried.clear();
                     continue;
                 }
-                PlacementDecision::Nowhere => return Err(self.refuse_nowhere()),
+                PlacementDecision::NoTarget => return Err(self.refuse_without_target()),
             };
             let failure = match self.send(target).await {
                 Ok(answer) => {
@@ -214,7 +214,7 @@
         Refusal::not_run(ResultCode::TargetsUnavailable, reason).with_retry_after(retry_after)
     }
 
-    fn refuse_nowhere(&self) -> Refusal {
+    fn refuse_without_target(&self) -> Refusal {
         /// Targets register within about a second after they start.
         const NO_TARGET_RETRY_DELAY: Duration = Duration::from_millis(700);
         let reason = format!("pool {} has no target", self.request.pool);
--- a/crates/cuminramp-gateway/src/peers/heartbeats.rs
+++ b/crates/cuminramp-gateway/src/peers/heartbeats.rs
@@ -79,7 +79,7 @@
         sequence,
         is_ready: state.is_ready(),
         has_left: state.has_left.load(Ordering::Relaxed),
-        wants_answer: matches!(kind, HeartbeatKind::JoinRequest { .. }),
+        is_join_request: matches!(kind, HeartbeatKind::JoinRequest { .. }),
         wants_hosts: kind == HeartbeatKind::JoinRequest { wants_hosts: true },
         reaches_store: state.relay.is_reached(),
         declarations,
@@ -131,7 +131,7 @@
     loop {
         let schedule = lock(&state.peers).schedule();
         tokio::select! {
-            () = tokio::time::sleep_until(timer.next()) => {}
+            () = tokio::time::sleep_until(timer.next_due()) => {}
             () = state.heartbeat_wanted.notified() => {
                 timer.bring_forward(&schedule, Instant::now());
                 continue;
@@ -182,11 +182,11 @@
     from: Name,
 ) {
     let now = Instant::now();
-    let (wants_answer, includes_hosts) = (heartbeat.wants_answer, heartbeat.wants_hosts);
+    let (is_join_request, includes_hosts) = (heartbeat.is_join_request, heartbeat.wants_hosts);
     let address = heartbeat.host.address.clone();
     let known_hosts = heartbeat.known_hosts.clone();
     let is_applied = apply_heartbeat(state, heartbeat, now);
-    if is_applied && wants_answer {
+    if is_applied && is_join_request {
         let response = make_heartbeat(state, HeartbeatKind::JoinResponse { includes_hosts });
         send_to_host(state, HostMessage::Heartbeat(response), &from).await;
     }
--- a/crates/cuminramp-gateway/src/peers/socket/tests.rs
+++ b/crates/cuminramp-gateway/src/peers/socket/tests.rs
@@ -16,7 +16,7 @@
         sequence: 9,
         is_ready: true,
         has_left: false,
-        wants_answer: false,
+        is_join_request: false,
         wants_hosts: false,
         reaches_store: true,
         declarations: 3,
@@ -49,12 +49,12 @@
     let outcome = SlotOutcome::Granted { target: 1, grant: 2 };
     let failed_address = Name::from("10.1.0.22:7360");
     let slot_request =
-        SlotRequest { incarnation: 7, request: 1, group: 1, avoided: vec![1], may_queue: true };
+        SlotRequest { incarnation: 7, request_id: 1, group: 1, avoided: vec![1], may_queue: true };
     vec![
         HostMessage::Heartbeat(heartbeat()),
         HostMessage::Report(report()),
         HostMessage::Request(slot_request),
-        HostMessage::Response(SlotResponse { request: 1, outcome }),
+        HostMessage::Response(SlotResponse { request_id: 1, outcome }),
         HostMessage::Command(SlotCommand::Limit { target: 1, items: 2 }),
         HostMessage::OwnerFailure(OwnerFailure { group: 1, failed_address, failed_incarnation: 4 }),
     ]
--- a/crates/cuminramp-gateway/src/slots/cold.rs
+++ b/crates/cuminramp-gateway/src/slots/cold.rs
@@ -40,10 +40,10 @@
     let cold: Vec<(Name, u32, usize)> = placement
         .cold_targets(pool, group, now)
         .into_iter()
-        .filter_map(|(hash, hosts)| Some((placement.by_hash(hash)?.id.clone(), hash, hosts)))
+        .filter_map(|(hash, hosts)| Some((placement.target_by_hash(hash)?.id.clone(), hash, hosts)))
         .collect();
     drop(placement);
     let peers = lock(&state.peers);
     let permitted = cold.into_iter().filter(|(id, _, hosts)| peers.rank(id) < *hosts);
-    ColdShare::Alone(permitted.map(|(_, hash, _)| hash).collect())
+    ColdShare::WithoutOwner(permitted.map(|(_, hash, _)| hash).collect())
 }
--- a/crates/cuminramp-gateway/src/slots/mod.rs
+++ b/crates/cuminramp-gateway/src/slots/mod.rs
@@ -92,9 +92,9 @@
 
 /// Returns the owner of a group as seen by this host.
 fn owner_of(state: &GatewayState, group: &SlotGroup) -> Option<HostId> {
-    let is_me_ready = state.is_ready();
+    let is_local_ready = state.is_ready();
     let peers = lock(&state.peers);
-    lock(&state.slots.owners).owner(group, &peers, is_me_ready, Instant::now())
+    lock(&state.slots.owners).owner(group, &peers, is_local_ready, Instant::now())
 }
 
 /// Returns the items of this host that wait for a slot of a group; none while the host drains.
--- a/crates/cuminramp-gateway/src/slots/owner.rs
+++ b/crates/cuminramp-gateway/src/slots/owner.rs
@@ -36,7 +36,7 @@
         let mut ledger = lock(&state.slots.ledger);
         let mut random = lock(&state.random);
         let owned = GroupShare { group, share: &share };
-        ledger.answer(&mut placement, host, owned, request, &mut **random, now)
+        ledger.respond(&mut placement, host, owned, request, &mut **random, now)
     };
     if *host != state.id() {
         send_to_host(state, HostMessage::Response(response), &host.address).await;
@@ -48,7 +48,7 @@
 /// Handles a slot request from another host.
 pub(crate) async fn take_request(state: &Arc<GatewayState>, from: &Name, request: SlotRequest) {
     let host = HostId { address: from.clone(), incarnation: request.incarnation };
-    let group = lock(&state.placement).group_of(request.group).cloned();
+    let group = lock(&state.placement).group_by_hash(request.group).cloned();
     // This host has not read the targets of the group yet. Without a response the requesting host turns to
     // the next owner.
     let Some(group) = group else { return };
@@ -60,7 +60,7 @@
     let host = HostId { address: from.clone(), incarnation: report.incarnation };
     let group = {
         let mut placement = lock(&state.placement);
-        let Some(group) = placement.group_of(report.group).cloned() else { return };
+        let Some(group) = placement.group_by_hash(report.group).cloned() else { return };
         let is_new =
             lock(&state.slots.ledger).receive_report(&mut placement, &host, report, Instant::now());
         if !is_new {
@@ -145,7 +145,7 @@
             ledger.owned()
         };
         for hash in owned {
-            let group = lock(&state.placement).group_of(hash).cloned();
+            let group = lock(&state.placement).group_by_hash(hash).cloned();
             if let Some(group) = group {
                 balance_group(&state, &group).await;
             }
@@ -157,7 +157,7 @@
 fn log_outliers(state: &GatewayState) {
     let mut placement = lock(&state.placement);
     for change in placement.take_outlier_changes(Instant::now()) {
-        let id = placement.by_hash(change.target).map(|target| target.id.clone());
+        let id = placement.target_by_hash(change.target).map(|target| target.id.clone());
         let message = if change.is_outlier { "target-set-aside" } else { "target-used-again" };
         log::warn!(
             target_id = id.as_deref().unwrap_or("-"), failures = change.failures,
--- a/crates/cuminramp-gateway/src/slots/report.rs
+++ b/crates/cuminramp-gateway/src/slots/report.rs
@@ -17,7 +17,7 @@
 /// in flight or items wait.
 pub(crate) async fn send_reports(state: Arc<GatewayState>) {
     loop {
-        let next = lock(&state.slots.report_timer).next();
+        let next = lock(&state.slots.report_timer).next_due();
         let due = async {
             match next {
                 Some(at) => sleep_until(at).await,
@@ -91,7 +91,7 @@
         SlotCommand::Limit { target, items } => limit_running_items(state, target, items),
         SlotCommand::Start { group, grant, target, items } => {
             let is_usable = state.slots.accept_grant(from, grant);
-            let group = lock(&state.placement).group_of(group).cloned();
+            let group = lock(&state.placement).group_by_hash(group).cloned();
             if let Some(group) = group.filter(|_| is_usable) {
                 start_granted_items(state, &group, target, items);
             }
@@ -101,7 +101,8 @@
 
 /// Preempts items of this host at a target until at most `items` are left there.
 pub(super) fn limit_running_items(state: &GatewayState, target: u32, items: u16) {
-    let Some(id) = lock(&state.placement).by_hash(target).map(|target| target.id.clone()) else {
+    let Some(id) = lock(&state.placement).target_by_hash(target).map(|target| target.id.clone())
+    else {
         return;
     };
     let stopped = state.running.keep(&id, u32::from(items));
@@ -121,7 +122,7 @@
     let usable_target = {
         let placement = lock(&state.placement);
         let is_avoided = placement.avoided(group, Instant::now()).contains(&target);
-        placement.by_hash(target).filter(|_| !is_avoided).cloned()
+        placement.target_by_hash(target).filter(|_| !is_avoided).cloned()
     };
     let started = usable_target.map_or(0, |target| fill_slots(state, &group.pool, &target, items));
     if started < items {
--- a/crates/cuminramp-gateway/src/slots/request.rs
+++ b/crates/cuminramp-gateway/src/slots/request.rs
@@ -78,9 +78,11 @@
     loop {
         let step = search.next(search_limits, &mut **lock(&state.random));
         let (group, may_queue) = match step {
-            SearchStep::Ask { group, may_queue } => (group, may_queue),
+            SearchStep::Request { group, may_queue } => (group, may_queue),
             SearchStep::Refuse(after) => return (PlacementDecision::Full(after), PlacedBy::Owner),
-            SearchStep::Nowhere => return (place_without_owner(state, request), PlacedBy::NoOwner),
+            SearchStep::NoTarget => {
+                return (place_without_owner(state, request), PlacedBy::NoOwner);
+            }
         };
         let Some((outcome, placed_by)) =
             request_from_group(state, &group, may_queue, request.tried).await
@@ -89,7 +91,7 @@
         };
         if let SlotOutcome::Granted { target, .. } = outcome {
             // Ignores a grant for a target that is unknown here or that accepts no new work.
-            if let Some(target) = lock(&state.placement).granted(target).cloned() {
+            if let Some(target) = lock(&state.placement).granted_target(target).cloned() {
                 return (PlacementDecision::Send(target), placed_by);
             }
         }
@@ -110,7 +112,7 @@
 }
 
 fn has_majority(state: &GatewayState) -> bool {
-    lock(&state.peers).has_majority(Instant::now())
+    lock(&state.peers).has_at_least_half(Instant::now())
 }
 
 /// Chooses a target without an owner, by the work that this host itself has in flight.
@@ -164,7 +166,7 @@
     drop(placement);
     SlotRequest {
         incarnation: state.me.incarnation,
-        request: state.slots.next_request_id.fetch_add(1, Ordering::Relaxed),
+        request_id: state.slots.next_request_id.fetch_add(1, Ordering::Relaxed),
         group: group.hash(),
         avoided,
         may_queue,
@@ -187,7 +189,7 @@
     request: &SlotRequest,
 ) -> OwnerReply {
     let (sender, mut receiver) = oneshot::channel();
-    lock(&state.slots.pending_requests).insert(request.request, sender);
+    lock(&state.slots.pending_requests).insert(request.request_id, sender);
     let mut reply = OwnerReply::Silent;
     for _ in 0..MAX_SENDS_PER_OWNER {
         let sent_at = Instant::now();
@@ -205,7 +207,7 @@
             Err(_) => {}
         }
     }
-    lock(&state.slots.pending_requests).remove(&request.request);
+    lock(&state.slots.pending_requests).remove(&request.request_id);
     reply
 }
 
@@ -240,8 +242,8 @@
     };
     let receivers: Vec<Name> = {
         let peers = lock(&state.peers);
-        let live = peers.live(false, Instant::now());
-        let of_zone = live.into_iter().filter(|(_, zone)| **zone == group.zone);
+        let ready = peers.ready_hosts(false, Instant::now());
+        let of_zone = ready.into_iter().filter(|(_, zone)| **zone == group.zone);
         of_zone.map(|(id, _)| id.address).collect()
     };
     if let Some(socket) = state.socket.get() {
@@ -251,7 +253,7 @@
 
 /// Handles an owner's response to a slot request.
 pub(crate) fn take_response(state: &GatewayState, from: &Name, response: SlotResponse) {
-    let pending = lock(&state.slots.pending_requests).remove(&response.request);
+    let pending = lock(&state.slots.pending_requests).remove(&response.request_id);
     let undelivered = match pending {
         Some(sender) => sender.send(response).err(),
         None => Some(response),
--- a/crates/cuminramp-gateway/src/state.rs
+++ b/crates/cuminramp-gateway/src/state.rs
@@ -110,7 +110,7 @@
     /// While heartbeats from most hosts arrive, this returns `false` even if the store does not answer: if it
     /// answers none of these hosts, waiting is better than sending the caller to another one.
     pub(crate) async fn is_cut_off(&self) -> bool {
-        if lock(&self.peers).has_majority(Instant::now()) {
+        if lock(&self.peers).has_at_least_half(Instant::now()) {
             return false;
         }
         !self.relay.is_reached() || !self.relay.answers_within(STORE_CHECK_TIMEOUT).await
--- a/crates/cuminramp-gateway/src/sync/drains.rs
+++ b/crates/cuminramp-gateway/src/sync/drains.rs
@@ -36,7 +36,7 @@
     let now = Instant::now();
     let mut table = lock(&state.drains);
     let updates: Vec<ZoneDrain> =
-        offered.into_iter().filter(|drain| table.offer(drain.clone(), now)).collect();
+        offered.into_iter().filter(|drain| table.record(drain.clone(), now)).collect();
     drop(table);
     enforce(state, &updates, source);
 }
--- a/crates/cuminramp-gateway/src/sync/updates.rs
+++ b/crates/cuminramp-gateway/src/sync/updates.rs
@@ -122,7 +122,7 @@
             return;
         }
     };
-    let is_applied = lock(&state.declarations).offer(declared.clone());
+    let is_applied = lock(&state.declarations).update(declared.clone());
     if !is_applied {
         return;
     }
@@ -195,7 +195,7 @@
             let phase = format!("{:?}", target.phase);
             log::info!(
                 target_id = &*target.id, phase = phase.as_str(), address = &*target.address,
-                zone = &*target.zone, cold_ms = target.cold_for.as_millis() as u64,
+                zone = &*target.zone, cold_ms = target.cold_remaining.as_millis() as u64,
                 row_version = row.version, source = source;
                 "target-known"
             );
@@ -222,7 +222,7 @@
 
 /// Removes targets whose rows vanished from the store, as after an outage, and did not reappear in time.
 pub(crate) fn drop_missing_targets(state: &Arc<GatewayState>, now: Instant) {
-    let actions = lock(&state.updates).targets.take_due(now);
+    let actions = lock(&state.updates).targets.remove_due(now);
     apply_actions(state, actions, "missing-from-store");
 }
 
--- a/crates/cuminramp-gateway/src/targets/send.rs
+++ b/crates/cuminramp-gateway/src/targets/send.rs
@@ -101,7 +101,7 @@
         let mut placement = lock(&self.state.placement);
         placement.record_success(&self.target.id, Instant::now());
         if self.kind == WorkKind::Online {
-            placement.record_hold(self.started_at.elapsed());
+            placement.record_hold_time(self.started_at.elapsed());
         }
     }
 
--- a/crates/cuminramp-replay/src/world.rs
+++ b/crates/cuminramp-replay/src/world.rs
@@ -101,7 +101,7 @@
             slots: plan.slots,
             phase: TargetPhase::Serving,
             started_at_ms: 1,
-            cold_for: Duration::ZERO,
+            cold_remaining: Duration::ZERO,
         });
     }
     placement
@@ -228,7 +228,7 @@
         match &done.owner {
             Owner::Caller { since, may_return } => {
                 host.placement.end(&done.target, WorkKind::Online);
-                host.placement.record_hold(ran);
+                host.placement.record_hold_time(ran);
                 let first = done.began.unwrap_or(self.now) + FIRST_EVENT;
                 let is_in_time = first - *since <= OBJECTIVE;
                 self.report.in_time += u32::from(is_in_time);
@@ -237,7 +237,7 @@
             }
             Owner::Item { job, index, due, ran: before } => {
                 host.placement.end(&done.target, WorkKind::Batch);
-                let progress = ItemProgress { ran: *before + ran, ..ItemProgress::default() };
+                let progress = ItemProgress { run_time: *before + ran, ..ItemProgress::default() };
                 host.jobs.complete(job, *index, progress, self.now);
                 self.finished.push((job.clone(), *index));
                 self.report.items_in_time += u32::from(self.now <= *due);
@@ -262,7 +262,7 @@
             Owner::Item { job, index, ran, .. } => {
                 host.placement.end(&broken.target, WorkKind::Batch);
                 let progress = progress_of(*ran);
-                host.jobs.fail(job, *index, ItemFailure::Broken, progress, self.now);
+                host.jobs.fail(job, *index, ItemFailure::Crashed, progress, self.now);
             }
         }
     }
@@ -278,7 +278,7 @@
         let host = &mut self.hosts[stopped.host];
         host.placement.end(&stopped.target, WorkKind::Batch);
         let progress = progress_of(*before + ran);
-        host.jobs.fail(job, *index, ItemFailure::GaveWay, progress, self.now);
+        host.jobs.fail(job, *index, ItemFailure::Preempted, progress, self.now);
     }
 
     /// Keeps what hosts that lose power find again.
@@ -302,12 +302,12 @@
 
     fn start_item(&mut self, host: usize, target: Name) {
         let now = self.now;
-        let Some(start) = self.hosts[host].jobs.next(|_| true, now) else { return };
+        let Some(start) = self.hosts[host].jobs.start_next(|_| true, now) else { return };
         let Some(due) = self.hosts[host].jobs.get(&start.job).map(|job| job.spec().due) else {
             return;
         };
         let whole = Duration::from_millis(start.item.tokens);
-        let ran = start.progress.ran;
+        let ran = start.progress.run_time;
         let owner = Owner::Item { job: start.job, index: start.index, due, ran };
         self.send(host, target, owner, whole.saturating_sub(ran).max(STEP));
     }
@@ -346,7 +346,7 @@
             Owner::Caller { .. } => host.placement.end(&refused.target, WorkKind::Online),
             Owner::Item { job, index, ran, .. } => {
                 host.placement.end(&refused.target, WorkKind::Batch);
-                host.jobs.fail(job, *index, ItemFailure::GaveWay, progress_of(*ran), self.now);
+                host.jobs.fail(job, *index, ItemFailure::Preempted, progress_of(*ran), self.now);
             }
         }
     }
@@ -363,5 +363,5 @@
 
 fn progress_of(ran: Duration) -> ItemProgress {
     // One event a millisecond: the board only asks whether the run moved.
-    ItemProgress { last_event: Some(ran.as_millis() as u64), text: String::new(), ran }
+    ItemProgress { last_event: Some(ran.as_millis() as u64), text: String::new(), run_time: ran }
 }
--- a/crates/cuminramp-replay/src/world/arrivals.rs
+++ b/crates/cuminramp-replay/src/world/arrivals.rs
@@ -81,7 +81,7 @@
             route: "route".into(),
             host: "host".into(),
             due: self.now + DUE,
-            give_up: self.now + DUE * 10,
+            expires: self.now + DUE * 10,
             max_attempts: 3,
             items,
         };
@@ -126,7 +126,7 @@
                     self.returns.push((self.now + after, since));
                     return;
                 }
-                PlacementDecision::Full(_) | PlacementDecision::Nowhere => break,
+                PlacementDecision::Full(_) | PlacementDecision::NoTarget => break,
             }
         }
         self.report.refused += 1;
--- a/crates/cuminramp-replay/src/world/slots.rs
+++ b/crates/cuminramp-replay/src/world/slots.rs
@@ -47,7 +47,7 @@
                 continue;
             };
             self.hosts[host].acknowledged_grant = grant.grant;
-            let target = self.hosts[host].placement.by_hash(grant.target).cloned();
+            let target = self.hosts[host].placement.target_by_hash(grant.target).cloned();
             let Some(target) = target else { continue };
             for _ in 0..grant.items {
                 self.start_item(host, target.id.clone());
@@ -69,19 +69,19 @@
         let mut search = SlotSearch::new(vec![group()], ZONE, &mut self.random);
         loop {
             match search.next(search_limits, &mut self.random) {
-                SearchStep::Ask { may_queue, .. } => {
+                SearchStep::Request { may_queue, .. } => {
                     let outcome = self.ask(host, may_queue, request.tried);
                     if let SlotOutcome::Granted { target, grant } = outcome {
                         let held = &mut self.hosts[host];
                         held.acknowledged_grant = grant;
-                        if let Some(target) = held.placement.by_hash(target).cloned() {
+                        if let Some(target) = held.placement.target_by_hash(target).cloned() {
                             return PlacementDecision::Send(target);
                         }
                     }
                     search.receive(outcome);
                 }
                 SearchStep::Refuse(after) => return PlacementDecision::Full(after),
-                SearchStep::Nowhere => {
+                SearchStep::NoTarget => {
                     let placement = &self.hosts[host].placement;
                     return placement.place(request, &ColdShare::Owner, &mut self.random, self.now);
                 }
@@ -97,7 +97,7 @@
         self.owner.asks += 1;
         let slot_request = SlotRequest {
             incarnation: asking.id.incarnation,
-            request: self.owner.asks,
+            request_id: self.owner.asks,
             group: group.hash(),
             avoided,
             may_queue,
@@ -105,7 +105,7 @@
         let owner = &mut self.owner;
         let random = &mut self.random;
         let owned = GroupShare { group: &group, share: &ColdShare::Owner };
-        let answer = owner.ledger.answer(
+        let answer = owner.ledger.respond(
             &mut owner.placement,
             &asking.id,
             owned,
@@ -123,7 +123,8 @@
         let limits = self.owner.ledger.item_limits(&self.owner.placement, &group(), now);
         for ItemLimit { host, target, items } in limits {
             let Some(host) = self.hosts.iter().position(|held| held.id == host) else { continue };
-            let target = self.hosts[host].placement.by_hash(target).map(|target| target.id.clone());
+            let target =
+                self.hosts[host].placement.target_by_hash(target).map(|target| target.id.clone());
             let Some(target) = target else { continue };
             let here = self.targets[target_index(&target)].works();
             let mut running: Vec<(Instant, usize)> = here
