--- a/crates/cuminramp-daemon/src/cmd/gateway.rs
+++ b/crates/cuminramp-daemon/src/cmd/gateway.rs
@@ -39,7 +39,7 @@
     };
     tokio::spawn(reload_on_signal(move || load(&path).map(drop)));
     wait_for_signal().await;
-    gateway.leave().await;
+    gateway.shut_down().await;
     log::logger().flush();
     ExitCode::SUCCESS
 }
--- a/crates/cuminramp-gateway/src/entry/calls.rs
+++ b/crates/cuminramp-gateway/src/entry/calls.rs
@@ -11,8 +11,8 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 
-use super::{AnswerBody, refusal_response};
-use crate::interfaces::{CallHead, CallerCall, CallerKey};
+use super::{ResponseBody, refusal_response};
+use crate::interfaces::{CallHead, CallerKey, CallerOperation};
 use crate::jobs::{JobCaller, accept_job, end_job, read_item, read_results};
 use crate::online::{AdmittedRequest, RequestRecord, serve_request};
 use crate::state::{GatewayState, lock};
@@ -37,9 +37,9 @@
 pub(crate) async fn answer_call(
     state: &Arc<GatewayState>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
-    let head = state.calls.read_head(&parts);
+    let head = state.call_format.read_head(&parts);
     match dispatch(state, parts, &head, body).await {
         Ok(response) => response,
         Err(refusal) => refusal_response(state, &refusal),
@@ -79,8 +79,8 @@
     parts: request::Parts,
     head: &CallHead,
     body: Incoming,
-) -> Result<Response<AnswerBody>, Refusal> {
-    let Some(declared) = state.declared() else {
+) -> Result<Response<ResponseBody>, Refusal> {
+    let Some(declared) = state.current_declarations() else {
         let refusal =
             Refusal::not_run(ResultCode::ConfigurationUnknown, "no declarations are known yet")
                 .with_retry_after(STARTUP_RETRY_AFTER);
@@ -88,10 +88,10 @@
         return Err(refusal);
     };
     let version = declared.version();
-    let call = state.calls.read_call(&parts);
-    if call != CallerCall::Request {
-        let job = call.job().cloned();
-        let outcome = answer_job_call(state, &declared, head, call).await;
+    let operation = state.call_format.read_call(&parts);
+    if operation != CallerOperation::Request {
+        let job = operation.job().cloned();
+        let outcome = answer_job_call(state, &declared, head, operation).await;
         return outcome.inspect_err(|refusal| log_job_refusal(head, job, version, refusal));
     }
     let path = parts.uri.path();
@@ -176,7 +176,7 @@
     team: Option<&TeamRule>,
     version: u64,
 ) -> Result<AdmittedRequest, Refusal> {
-    let Some(pool) = route.pick_pool(state.draw(usize::MAX >> 1) as u64).cloned() else {
+    let Some(pool) = route.pick_pool(state.random_below(usize::MAX >> 1) as u64).cloned() else {
         let refusal = Refusal::not_run(ResultCode::TargetsUnavailable, "the route has no pool");
         log_refusal(head, Some(&route), version, &refusal);
         return Err(refusal);
@@ -200,7 +200,7 @@
         }
         CallerKey::Missing if is_key_optional => Ok(None),
         CallerKey::Missing => Err(Refusal::not_run(ResultCode::KeyMissing, "no key was sent")),
-        CallerKey::Given(key) => match declared.find_team(key) {
+        CallerKey::Present(key) => match declared.find_team(key) {
             Some(team) => Ok(Some(team)),
             None if is_key_optional => Ok(None),
             None => Err(Refusal::not_run(ResultCode::KeyUnknown, "the key is unknown")),
@@ -226,17 +226,19 @@
     state: &Arc<GatewayState>,
     declared: &FleetDeclarations,
     head: &CallHead,
-    call: CallerCall,
-) -> Result<Response<AnswerBody>, Refusal> {
+    operation: CallerOperation,
+) -> Result<Response<ResponseBody>, Refusal> {
     let team = find_team(declared, head, false)?;
     let team: Name = team.map_or_else(|| "".into(), |team| team.name.clone());
     let caller = JobCaller { team, head: head.clone() };
-    match call {
-        CallerCall::ReadResults { job, after, wait } => {
+    match operation {
+        CallerOperation::ReadResults { job, after, wait } => {
             read_results(state, &caller, &job, after, wait).await
         }
-        CallerCall::ReadItem { job, item } => read_item(state, &caller, &job, &item).await,
-        CallerCall::EndJob { job } => end_job(state, &caller, &job).await,
-        CallerCall::Request => Err(Refusal::not_run(ResultCode::EndpointUnknown, "not a job call")),
+        CallerOperation::ReadItem { job, item } => read_item(state, &caller, &job, &item).await,
+        CallerOperation::EndJob { job } => end_job(state, &caller, &job).await,
+        CallerOperation::Request => {
+            Err(Refusal::not_run(ResultCode::EndpointUnknown, "not a job call"))
+        }
     }
 }
--- a/crates/cuminramp-gateway/src/entry/connections.rs
+++ b/crates/cuminramp-gateway/src/entry/connections.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::{AnswerBody, answer_call};
+use super::{ResponseBody, answer_call};
 use crate::state::GatewayState;
 
 /// Time by which idle connections outlive the idle timeout that callers apply. Without it, a caller could
@@ -33,7 +33,7 @@
 
 /// Serves one connection. On a drain, closes it once it is idle.
 async fn serve_connection(state: Arc<GatewayState>, stream: TcpStream) {
-    let limits = state.declared().map(|declared| declared.limits()).unwrap_or_default();
+    let limits = state.current_declarations().map(|declared| declared.limits()).unwrap_or_default();
     let service_state = state.clone();
     let service = service_fn(move |request| answer_request(service_state.clone(), request));
     let connection = http1::Builder::new()
@@ -66,7 +66,7 @@
 async fn answer_request(
     state: Arc<GatewayState>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let _token = state.tasks.token();
     let mut response = answer_call(&state, request).await;
     if state.is_draining() {
--- a/crates/cuminramp-gateway/src/entry/mod.rs
+++ b/crates/cuminramp-gateway/src/entry/mod.rs
@@ -7,5 +7,5 @@
 
 pub(crate) use calls::{answer_call, is_retry};
 pub(crate) use connections::serve_callers;
-pub(crate) use responses::{AnswerBody, PROMISES, complete_response, refusal_response};
+pub(crate) use responses::{NOT_RUN_STATUSES, ResponseBody, complete_response, refusal_response};
 pub(crate) use service_points::{serve_metrics, serve_readiness, serve_steering};
--- a/crates/cuminramp-gateway/src/entry/responses.rs
+++ b/crates/cuminramp-gateway/src/entry/responses.rs
@@ -16,17 +16,17 @@
 use crate::state::GatewayState;
 
 /// HTTP statuses that guarantee that a request was not run and never will be, so that callers may repeat it.
-pub(crate) const PROMISES: [u16; 4] = [408, 421, 429, 503];
+pub(crate) const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 /// Body of a response.
-pub(crate) enum AnswerBody {
+pub(crate) enum ResponseBody {
     /// The complete body is in memory.
-    Whole(Full<Bytes>),
+    Complete(Full<Bytes>),
     /// The body is streamed event by event.
     Stream(BoxStream<'static, Result<Frame<Bytes>, io::Error>>),
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -35,41 +35,41 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
-            AnswerBody::Whole(body) => {
+            ResponseBody::Complete(body) => {
                 Pin::new(body).poll_frame(context).map_err(|never| match never {})
             }
-            AnswerBody::Stream(frames) => frames.as_mut().poll_next(context),
+            ResponseBody::Stream(frames) => frames.as_mut().poll_next(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Whole(body) => body.is_end_stream(),
-            AnswerBody::Stream(_) => false,
+            ResponseBody::Complete(body) => body.is_end_stream(),
+            ResponseBody::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(body) => body.size_hint(),
-            AnswerBody::Stream(_) => SizeHint::default(),
+            ResponseBody::Complete(body) => body.size_hint(),
+            ResponseBody::Stream(_) => SizeHint::default(),
         }
     }
 }
 
 /// Returns a JSON response with a complete body that this host has generated.
-pub(crate) fn complete_response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::Whole(Full::new(body)));
+pub(crate) fn complete_response(status: StatusCode, body: Bytes) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Complete(Full::new(body)));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-/// Returns the HTTP status of a refusal. For a request that may have run, each status in [`PROMISES`] is
+/// Returns the HTTP status of a refusal. For a request that may have run, each status in [`NOT_RUN_STATUSES`] is
 /// replaced by 502, so that its caller doesn't repeat it.
 fn refusal_status(refusal: &Refusal) -> StatusCode {
     let status = refusal.code.http_status();
-    let means_not_run = PROMISES.contains(&status);
+    let means_not_run = NOT_RUN_STATUSES.contains(&status);
     if means_not_run && refusal.execution != Execution::NotRun {
         return StatusCode::BAD_GATEWAY;
     }
@@ -77,7 +77,7 @@
 }
 
 /// Returns the response for a refusal and counts it in the metrics.
-pub(crate) fn refusal_response(state: &GatewayState, refusal: &Refusal) -> Response<AnswerBody> {
+pub(crate) fn refusal_response(state: &GatewayState, refusal: &Refusal) -> Response<ResponseBody> {
     state.metrics.count_refusal(refusal.code.number());
     let body = json!({
         "error": {
--- a/crates/cuminramp-gateway/src/entry/service_points.rs
+++ b/crates/cuminramp-gateway/src/entry/service_points.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-use crate::interfaces::SteeringCall;
+use crate::interfaces::SteeringRequest;
 use crate::state::{GatewayState, lock};
 
 /// Timeout for receiving the head of a request.
@@ -66,14 +66,15 @@
 
 /// Returns the zones by which a caller is steered: its own, those of its region, and those of the home
 /// regions in which its work may run.
-fn steering_area(state: &GatewayState, call: SteeringCall) -> SteeringArea {
-    let home_regions =
-        state.declared().map_or_else(Vec::new, |declared| declared.home_regions_of(&call.host));
+fn steering_area(state: &GatewayState, request: SteeringRequest) -> SteeringArea {
+    let home_regions = state
+        .current_declarations()
+        .map_or_else(Vec::new, |declared| declared.home_regions_of(&request.host));
     let home_zones = home_regions.iter().flat_map(|region| state.regions.zones_of(region));
     SteeringArea {
-        region_zones: state.regions.zones_of(&call.region),
+        region_zones: state.regions.zones_of(&request.region),
         home_zones: home_zones.collect(),
-        zone: call.zone,
+        zone: request.zone,
     }
 }
 
@@ -83,11 +84,11 @@
         let (mut parts, ()) = Request::new(()).into_parts();
         parts.uri = request.uri().clone();
         parts.method = request.method().clone();
-        let Some(call) = state.calls.read_steering(&parts) else {
+        let Some(steering_request) = state.call_format.read_steering(&parts) else {
             return json_response(StatusCode::NOT_FOUND, "{}");
         };
         let is_ready = state.is_ready();
-        let area = steering_area(state, call);
+        let area = steering_area(state, steering_request);
         let peers = lock(&state.peers);
         let mut random = lock(&state.random);
         let hosts = peers.steer(&area, is_ready, STEERING_BOUNDS, &mut **random, Instant::now());
@@ -97,7 +98,7 @@
             return json_response(StatusCode::SERVICE_UNAVAILABLE, "{}");
         }
         let ttl = Duration::from_secs_f64(state.settings.steering_keep_s);
-        json_response(StatusCode::OK, state.calls.write_steering(&hosts, ttl))
+        json_response(StatusCode::OK, state.call_format.write_steering(&hosts, ttl))
     })
     .await;
 }
@@ -117,12 +118,12 @@
 /// Serves the metrics in Prometheus' text format.
 pub(crate) async fn serve_metrics(state: Arc<GatewayState>, listener: TcpListener) {
     serve_endpoint(state, listener, |state, _| {
-        let version = state.declared().map_or(0, |declared| declared.version());
+        let version = state.current_declarations().map_or(0, |declared| declared.version());
         let (alive, _) = lock(&state.peers).count_alive(Instant::now());
         let held_jobs = lock(&state.jobs).jobs().count();
-        state.metrics.note_state(version, alive, held_jobs);
+        state.metrics.record_state(version, alive, held_jobs);
         let drained = lock(&state.drains).drained().len();
-        state.metrics.note_drained(drained);
+        state.metrics.record_drained(drained);
         match state.metrics.render() {
             Ok(text) => {
                 let mut response = json_response(StatusCode::OK, text);
--- a/crates/cuminramp-gateway/src/gateway.rs
+++ b/crates/cuminramp-gateway/src/gateway.rs
@@ -22,17 +22,17 @@
 
 use crate::entry::{serve_callers, serve_metrics, serve_readiness, serve_steering};
 use crate::interfaces::{CallFormat, FleetFormat, FleetStore};
-use crate::jobs::{JobsFollower, hand_jobs_over, run_items, save_progress, take_jobs_over};
+use crate::jobs::{JobsFollower, hand_over_jobs, run_items, save_progress, take_over_jobs};
 use crate::metrics::GatewayMetrics;
 use crate::peers::{
-    HostSocket, PeerClients, forget_silent, greet_host, receive_datagrams, send_heartbeats,
-    serve_calls, tell_all, watch_pauses,
+    HostSocket, PeerClients, broadcast_heartbeat, detect_pauses, mark_silent_hosts,
+    receive_datagrams, send_heartbeats, send_join_request, serve_calls,
 };
 use crate::slots::{SlotState, maintain_owned_groups, send_reports};
 use crate::state::{GatewayState, lock};
 use crate::sync::{
-    DeclarationsFollower, RelayedStore, TargetsFollower, announce_host, drop_missing_targets,
-    follow_table, learn_hosts, withdraw_host,
+    DeclarationsFollower, RelayedStore, TargetsFollower, announce_host, discover_hosts,
+    drop_missing_targets, follow_table, withdraw_host,
 };
 
 /// Silence after which the jobs of a host are taken over. It is long enough for a process to be killed and
@@ -112,18 +112,18 @@
 fn build_state(
     settings: GatewaySettings,
     store: Arc<dyn FleetStore>,
-    calls: Arc<dyn CallFormat>,
-    fleet: Arc<dyn FleetFormat>,
+    call_format: Arc<dyn CallFormat>,
+    fleet_format: Arc<dyn FleetFormat>,
 ) -> Result<GatewayState, GatewayError> {
     let now = Instant::now();
-    let me = KnownHost {
+    let local_host = KnownHost {
         address: settings.peer_address.as_str().into(),
         incarnation: new_incarnation(),
         caller_address: settings.caller_address.as_str().into(),
         zone: settings.availability_zone.as_str().into(),
     };
-    let id = HostId { address: me.address.clone(), incarnation: me.incarnation };
-    let relay = Arc::new(RelayedStore::new(store.clone()));
+    let id = HostId { address: local_host.address.clone(), incarnation: local_host.incarnation };
+    let relayed_store = Arc::new(RelayedStore::new(store.clone()));
     let tolerance = QuotaTolerance {
         share: settings.rate_tolerance_share,
         extra_requests: settings.rate_tolerance_requests,
@@ -144,27 +144,27 @@
     Ok(GatewayState {
         declarations: Default::default(),
         quota: QuotaTable::new(tolerance, now).into(),
-        placement: PlacementTable::new(me.zone.clone(), placement).into(),
+        placement: PlacementTable::new(local_host.zone.clone(), placement).into(),
         drains: Default::default(),
         regions,
         slots: SlotState::new(id),
         crashes: CrashTable::new(MAX_REQUEST_CRASHES, QUARANTINE_TTL).into(),
-        peers: PeerTable::new(me.clone(), PEER_POLICY).into(),
+        peers: PeerTable::new(local_host.clone(), PEER_POLICY).into(),
         jobs: JobTable::new(JobPolicy::default()).into(),
         directory: Default::default(),
         writers: Default::default(),
-        running: Default::default(),
+        running_items: Default::default(),
         connections: Default::default(),
         updates: Default::default(),
         random: std::sync::Mutex::new(Box::new(SeededRandom::new(rand::rng().next_u64()))),
         metrics,
         socket: OnceLock::new(),
         heartbeat_sequence: AtomicU64::new(1),
-        has_read_hosts: AtomicBool::new(false),
-        asks_for_updates: Semaphore::new(1),
-        heartbeat_wanted: Notify::new(),
-        items_wanted: Notify::new(),
-        started: now,
+        has_read_host_table: AtomicBool::new(false),
+        update_request_permit: Semaphore::new(1),
+        heartbeat_requested: Notify::new(),
+        item_slots_requested: Notify::new(),
+        started_at: now,
         is_draining: AtomicBool::new(false),
         has_left: AtomicBool::new(false),
         tasks: TaskTracker::new(),
@@ -172,13 +172,13 @@
         drain_idle: CancellationToken::new(),
         stop: CancellationToken::new(),
         settings,
-        me,
-        store: relay.clone(),
-        relay,
+        local_host,
+        store: relayed_store.clone(),
+        relayed_store,
         direct_store: store,
-        clients: PeerClients::default(),
-        calls,
-        fleet,
+        peer_clients: PeerClients::default(),
+        call_format,
+        fleet_format,
     })
 }
 
@@ -187,8 +187,8 @@
     pub async fn start(
         settings: GatewaySettings,
         store: Arc<dyn FleetStore>,
-        calls: Arc<dyn CallFormat>,
-        fleet: Arc<dyn FleetFormat>,
+        call_format: Arc<dyn CallFormat>,
+        fleet_format: Arc<dyn FleetFormat>,
     ) -> Result<Self, GatewayError> {
         let callers = listen("caller-address", &settings.caller_address).await?;
         let readiness = listen("readiness-address", &settings.readiness_address).await?;
@@ -199,14 +199,14 @@
             let address = settings.peer_address.clone();
             GatewayError::Listen { setting: "peer-address", address, source }
         })?;
-        let state = Arc::new(build_state(settings, store, calls, fleet)?);
-        state.relay.attach(&state);
+        let state = Arc::new(build_state(settings, store, call_format, fleet_format)?);
+        state.relayed_store.attach(&state);
         // Can't fail: the cell is empty until here.
         let _ = state.socket.set(socket);
         log::info!(
-            host = state.settings.name.as_str(), address = &*state.me.address,
-            incarnation = state.me.incarnation, zone = &*state.me.zone,
-            callers = &*state.me.caller_address;
+            host = state.settings.name.as_str(), address = &*state.local_host.address,
+            incarnation = state.local_host.incarnation, zone = &*state.local_host.zone,
+            callers = &*state.local_host.caller_address;
             "started"
         );
         tokio::spawn(serve_callers(state.clone(), callers));
@@ -222,15 +222,15 @@
     ///
     /// Steering answers stop naming the host at once. Callers on open connections are still served. Held jobs
     /// are handed over with their progress, and requests in flight are completed within the grace period.
-    pub async fn leave(self) {
+    pub async fn shut_down(self) {
         let state = &self.state;
         let started_at = Instant::now();
         let grace = state.settings.grace();
         log::info!(host = state.settings.name.as_str(), grace_ms = grace.as_millis() as u64; "leaving");
         state.is_draining.store(true, Ordering::Relaxed);
         state.drain.cancel();
-        tell_all(state).await;
-        hand_jobs_over(state).await;
+        broadcast_heartbeat(state).await;
+        hand_over_jobs(state).await;
         withdraw_host(state).await;
         let close_idle_at = started_at + grace.mul_f64(CLOSE_IDLE_GRACE_SHARE);
         let drain_deadline = started_at + grace.saturating_sub(DRAIN_MARGIN);
@@ -239,7 +239,7 @@
         state.tasks.close();
         let is_complete = tokio::time::timeout_at(drain_deadline, state.tasks.wait()).await.is_ok();
         state.has_left.store(true, Ordering::Relaxed);
-        tell_all(state).await;
+        broadcast_heartbeat(state).await;
         log::info!(
             host = state.settings.name.as_str(), whole = is_complete,
             took_ms = started_at.elapsed().as_millis() as u64;
@@ -266,8 +266,8 @@
 }
 
 fn spawn_loops(state: &Arc<GatewayState>) {
-    let declarations = DeclarationsFollower { table: state.fleet.declarations_table() };
-    let targets = TargetsFollower { table: state.fleet.targets_table() };
+    let declarations = DeclarationsFollower { table: state.fleet_format.declarations_table() };
+    let targets = TargetsFollower { table: state.fleet_format.targets_table() };
     spawn_loop(state, follow_table(state.clone(), declarations));
     spawn_loop(state, follow_table(state.clone(), targets));
     spawn_loop(state, follow_table(state.clone(), JobsFollower));
@@ -277,9 +277,9 @@
     spawn_loop(state, receive_datagrams(state.clone()));
     spawn_loop(state, send_reports(state.clone()));
     spawn_loop(state, maintain_owned_groups(state.clone()));
-    spawn_loop(state, watch_pauses(state.clone()));
+    spawn_loop(state, detect_pauses(state.clone()));
     spawn_loop(state, run_items(state.clone()));
-    spawn_loop(state, take_jobs_over(state.clone()));
+    spawn_loop(state, take_over_jobs(state.clone()));
     spawn_loop(state, save_progress(state.clone()));
     spawn_loop(state, run_upkeep(state.clone()));
 }
@@ -287,12 +287,12 @@
 /// Sends join requests to the seeds, then reads the rows of all hosts at intervals.
 async fn follow_hosts(state: Arc<GatewayState>) {
     for seed in seed_addresses(&state) {
-        greet_host(&state, &seed).await;
+        send_join_request(&state, &seed).await;
     }
     loop {
-        let pause = match learn_hosts(&state).await {
+        let pause = match discover_hosts(&state).await {
             Ok(()) => {
-                state.has_read_hosts.store(true, Ordering::Relaxed);
+                state.has_read_host_table.store(true, Ordering::Relaxed);
                 lock(&state.peers).schedule().scale(HOST_READ_INTERVAL, MAX_HOST_READ_INTERVAL)
             }
             Err(error) => {
@@ -307,7 +307,7 @@
 
 /// Returns the peer addresses of the seeds: their IP addresses with the peer port of this host.
 fn seed_addresses(state: &GatewayState) -> Vec<Name> {
-    let Ok(own) = state.me.address.parse::<SocketAddr>() else { return vec![] };
+    let Ok(own) = state.local_host.address.parse::<SocketAddr>() else { return vec![] };
     let seeds = state.settings.seeds.iter().filter_map(|seed| seed.parse::<SocketAddr>().ok());
     let others = seeds.map(|seed| SocketAddr::new(seed.ip(), own.port()));
     others.filter(|seed| *seed != own).map(|seed| seed.to_string().into()).collect()
@@ -318,7 +318,7 @@
     let mut turn = 0u32;
     loop {
         tokio::time::sleep(UPKEEP_INTERVAL).await;
-        forget_silent(&state, &mut silent);
+        mark_silent_hosts(&state, &mut silent);
         drop_missing_targets(&state, Instant::now());
         state.connections.close_expired();
         turn = turn.wrapping_add(1);
--- a/crates/cuminramp-gateway/src/interfaces.rs
+++ b/crates/cuminramp-gateway/src/interfaces.rs
@@ -28,7 +28,7 @@
     /// The call has no key.
     Missing,
     /// The call has one key.
-    Given(Name),
+    Present(Name),
     /// The call has more than one key, or one that can't be read, so that its team can't be determined.
     Ambiguous,
 }
@@ -50,7 +50,7 @@
 
 /// Operation that a call requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum CallerCall {
+pub enum CallerOperation {
     /// Sends a request to a target or submits a job, as declared for the route.
     Request,
     /// Reads results of a job from a position on.
@@ -76,28 +76,28 @@
     },
 }
 
-impl CallerCall {
+impl CallerOperation {
     /// Returns the job that the call refers to, if any.
     ///
     /// ```
-    /// use cuminramp_gateway::CallerCall;
-    /// let call = CallerCall::EndJob { job: "j1".into() };
-    /// assert_eq!(call.job().map(|job| &**job), Some("j1"));
-    /// assert_eq!(CallerCall::Request.job(), None);
+    /// use cuminramp_gateway::CallerOperation;
+    /// let operation = CallerOperation::EndJob { job: "j1".into() };
+    /// assert_eq!(operation.job().map(|job| &**job), Some("j1"));
+    /// assert_eq!(CallerOperation::Request.job(), None);
     /// ```
     pub fn job(&self) -> Option<&Name> {
         match self {
-            CallerCall::Request => None,
-            CallerCall::ReadResults { job, .. }
-            | CallerCall::ReadItem { job, .. }
-            | CallerCall::EndJob { job } => Some(job),
+            CallerOperation::Request => None,
+            CallerOperation::ReadResults { job, .. }
+            | CallerOperation::ReadItem { job, .. }
+            | CallerOperation::EndJob { job } => Some(job),
         }
     }
 }
 
 /// A steering request: asks which hosts a caller should use.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct SteeringCall {
+pub struct SteeringRequest {
     /// Host name to which the caller will address its calls.
     pub host: Name,
     /// Region of the caller.
@@ -121,7 +121,7 @@
 
 /// Contents of the head of a target's response.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Id of the request that the response belongs to.
     pub request_id: Option<Name>,
     /// Whether the response carries the signature of a target.
@@ -133,7 +133,7 @@
     /// Time for which the connection may stay idle, if the target returned it.
     pub keep_alive: Option<Duration>,
     /// Number of requests that the target runs or queues, this one included, if it returned it.
-    pub busy: Option<u32>,
+    pub active_requests: Option<u32>,
 }
 
 /// Result of an item, as listed in a page of results.
@@ -144,7 +144,7 @@
     /// Whether the output is complete; otherwise the item was given up.
     pub is_complete: bool,
     /// Output of the item.
-    pub text: String,
+    pub output: String,
 }
 
 /// A page of a job's results, from a position on.
@@ -164,7 +164,7 @@
     fn read_head(&self, parts: &request::Parts) -> CallHead;
 
     /// Reads the operation that a call requests.
-    fn read_call(&self, parts: &request::Parts) -> CallerCall;
+    fn read_call(&self, parts: &request::Parts) -> CallerOperation;
 
     /// Returns the headers sent to a target for a caller's request.
     fn target_headers(&self, parts: &request::Parts, head: &TargetHead<'_>) -> HeaderMap;
@@ -178,10 +178,10 @@
     ) -> Result<HeaderMap, FormatError>;
 
     /// Reads the head of a target's response.
-    fn read_answer(&self, parts: &response::Parts) -> AnswerHead;
+    fn read_response(&self, parts: &response::Parts) -> ResponseHead;
 
     /// Returns the headers of a target's response that are passed on to the caller.
-    fn answer_headers(&self, parts: &response::Parts) -> HeaderMap;
+    fn response_headers(&self, parts: &response::Parts) -> HeaderMap;
 
     /// Reads the items of a job.
     fn read_job(&self, body: &[u8]) -> Result<Vec<ItemSpec>, FormatError>;
@@ -190,7 +190,7 @@
     fn write_results(&self, page: &ResultPage) -> Bytes;
 
     /// Reads a steering request; `None` if the call is not one.
-    fn read_steering(&self, parts: &request::Parts) -> Option<SteeringCall>;
+    fn read_steering(&self, parts: &request::Parts) -> Option<SteeringRequest>;
 
     /// Writes a steering response: the hosts to use, and the time for which the caller may cache them.
     fn write_steering(&self, hosts: &[Name], ttl: Duration) -> Bytes;
--- a/crates/cuminramp-gateway/src/jobs/accept.rs
+++ b/crates/cuminramp-gateway/src/jobs/accept.rs
@@ -15,7 +15,7 @@
 use super::directory::{KnownJob, unix_ms};
 use super::names::{acceptance_lock_key, input_key, input_object, job_key, jobs_prefix};
 use super::{JobCaller, writer};
-use crate::entry::{AnswerBody, complete_response};
+use crate::entry::{ResponseBody, complete_response};
 use crate::state::{GatewayState, lock};
 
 /// Timeout after which a host stops trying to make a job durable. Callers wait 4 s and then retry at
@@ -71,7 +71,7 @@
     caller: JobCaller,
     body: Bytes,
     version: u64,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let started = Instant::now();
     let outcome = accept(state, route, &caller, &body, started).await;
     let items = caller.head.request_id.as_deref().and_then(|id| state.directory.get(id));
@@ -80,7 +80,7 @@
     let took_ms = started.elapsed().as_millis() as u64;
     match &outcome {
         Ok(kind) => {
-            state.metrics.note_acceptance(started.elapsed());
+            state.metrics.record_acceptance(started.elapsed());
             log::info!(
                 job = job, team = &*caller.team, route = &*route.name, declarations = version,
                 items = items, outcome = *kind, took_ms = took_ms;
@@ -121,7 +121,7 @@
         return Err(refusal.with_retry_after(OTHER_HOST_RETRY_AFTER));
     }
     let items = state
-        .calls
+        .call_format
         .read_job(body)
         .map_err(|error| Refusal::not_run(ResultCode::BodyMalformed, error.to_string()))?;
     let mut draft = build_draft(state, route, caller, &id, &items, body, started);
@@ -158,8 +158,8 @@
         route: route.name.to_string(),
         host: caller.head.host.to_string(),
         phase: JobPhase::Open as i32,
-        holder_address: state.me.address.to_string(),
-        holder_incarnation: state.me.incarnation,
+        holder_address: state.local_host.address.to_string(),
+        holder_incarnation: state.local_host.incarnation,
         fence: 1,
         accepted_ms: now,
         due_ms: now + route.due_after.as_millis() as u64,
--- a/crates/cuminramp-gateway/src/jobs/directory.rs
+++ b/crates/cuminramp-gateway/src/jobs/directory.rs
@@ -99,7 +99,7 @@
 
     /// Returns the newest jobs that this host ended within the last `within`, at most [`MAX_REPORTED_ENDS`].
     /// Removes ends that are older than `within`.
-    pub(crate) fn ended_lately(&self, within: Duration, now: Instant) -> Vec<EndedJob> {
+    pub(crate) fn recently_ended(&self, within: Duration, now: Instant) -> Vec<EndedJob> {
         let mut rows = lock(&self.rows);
         rows.ended.retain(|(_, at)| now.duration_since(*at) < within);
         rows.ended.iter().rev().take(MAX_REPORTED_ENDS).map(|(ended, _)| ended.clone()).collect()
@@ -189,7 +189,7 @@
 /// The job's row shows the end as well, but arrives late while the store is slow: when the store responded
 /// after half a second and rejected reads for exceeding its rate limit, items of a job ran 3.5 s after its
 /// end.
-pub(crate) fn notice_end(state: &Arc<GatewayState>, ended: &EndedJob, source: &HostId) {
+pub(crate) fn record_reported_end(state: &Arc<GatewayState>, ended: &EndedJob, source: &HostId) {
     let Some(known) = state.directory.get(&ended.job) else { return };
     let mut row = known.row;
     row.phase = JobPhase::Ended as i32;
@@ -210,8 +210,8 @@
 /// host has taken it over.
 pub(super) fn apply_row(state: &Arc<GatewayState>, row: &Row) {
     let Some(job) = state.directory.record_row(row) else { return };
-    let is_holder =
-        *job.holder_address == *state.me.address && job.holder_incarnation == state.me.incarnation;
+    let is_holder = *job.holder_address == *state.local_host.address
+        && job.holder_incarnation == state.local_host.incarnation;
     if is_holder && job.phase() == JobPhase::Open {
         return;
     }
--- a/crates/cuminramp-gateway/src/jobs/directory/tests.rs
+++ b/crates/cuminramp-gateway/src/jobs/directory/tests.rs
@@ -15,12 +15,12 @@
     for _ in 0..1_000 {
         directory.record_end("j", 1, now);
     }
-    let repeated = directory.ended_lately(REPORT_WINDOW, now).len();
+    let repeated = directory.recently_ended(REPORT_WINDOW, now).len();
 
     for number in 0..1_000 {
         directory.record_end(&format!("j{number}"), 1, now);
     }
-    let many = directory.ended_lately(REPORT_WINDOW, now);
+    let many = directory.recently_ended(REPORT_WINDOW, now);
 
     assert_eq!((repeated, many.len()), (1, MAX_REPORTED_ENDS));
     assert_eq!(&*many[0].job, "j999");
--- a/crates/cuminramp-gateway/src/jobs/end.rs
+++ b/crates/cuminramp-gateway/src/jobs/end.rs
@@ -17,7 +17,7 @@
 use super::names::job_key;
 use super::read::find_job;
 use super::run::stop_job;
-use crate::entry::{AnswerBody, complete_response};
+use crate::entry::{ResponseBody, complete_response};
 use crate::state::GatewayState;
 
 /// Timeout after which a host stops trying to make a job's end durable.
@@ -30,7 +30,7 @@
     state: &Arc<GatewayState>,
     caller: &JobCaller,
     job: &str,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let started = Instant::now();
     let mut known = find_job(state, caller, job).await?;
     while known.is_open() {
--- a/crates/cuminramp-gateway/src/jobs/mod.rs
+++ b/crates/cuminramp-gateway/src/jobs/mod.rs
@@ -18,12 +18,12 @@
 
 pub(crate) use accept::accept_job;
 pub(crate) use checkpoint::save_progress;
-pub(crate) use directory::{JobDirectory, JobsFollower, notice_end};
+pub(crate) use directory::{JobDirectory, JobsFollower, record_reported_end};
 pub(crate) use end::end_job;
-pub(crate) use hand_over::hand_jobs_over;
+pub(crate) use hand_over::hand_over_jobs;
 pub(crate) use read::{read_item, read_results};
 pub(crate) use run::{RunningItems, fill_slots, may_run_in, run_items, waiting_pools};
-pub(crate) use takeover::take_jobs_over;
+pub(crate) use takeover::take_over_jobs;
 pub(crate) use writer::JobWriters;
 
 /// Caller of a job operation: its team and the head of its call.
--- a/crates/cuminramp-gateway/src/jobs/read.rs
+++ b/crates/cuminramp-gateway/src/jobs/read.rs
@@ -14,7 +14,7 @@
 use super::JobCaller;
 use super::directory::KnownJob;
 use super::names::{input_object, input_prefix, job_key, result_key, results_prefix};
-use crate::entry::{AnswerBody, complete_response};
+use crate::entry::{ResponseBody, complete_response};
 use crate::interfaces::{ListedResult, ResultPage};
 use crate::state::{GatewayState, lock};
 
@@ -65,7 +65,7 @@
     job: &str,
     after: u32,
     wait: Duration,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let mut changes = state.directory.subscribe();
     let known = find_job(state, caller, job).await?;
     let total = known.row.total;
@@ -87,7 +87,7 @@
         vec![]
     };
     let page = ResultPage { total, next: after + results.len() as u32, results };
-    Ok(complete_response(StatusCode::OK, state.calls.write_results(&page)))
+    Ok(complete_response(StatusCode::OK, state.call_format.write_results(&page)))
 }
 
 /// Reads listed results from position `after` on, as many as fit into one response.
@@ -108,20 +108,20 @@
     for row in rows {
         let result = decode_row::<ResultRow>(&row.value)
             .map_err(|error| StoreError::Unknown(error.to_string()))?;
-        let text = if result.object.is_empty() {
+        let output = if result.object.is_empty() {
             result.text
         } else {
             let object = state.store.get(&result.object).await?.unwrap_or_default();
             String::from_utf8_lossy(&object).into_owned()
         };
-        bytes += text.len();
+        bytes += output.len();
         if bytes > MAX_PAGE_BYTES && !results.is_empty() {
             break;
         }
         results.push(ListedResult {
             item: result.item.into(),
             is_complete: result.is_complete,
-            text,
+            output,
         });
     }
     Ok(results)
@@ -133,7 +133,7 @@
     caller: &JobCaller,
     job: &str,
     item: &str,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let known = find_job(state, caller, job).await?;
     let held = {
         let jobs = lock(&state.jobs);
--- a/crates/cuminramp-gateway/src/jobs/run.rs
+++ b/crates/cuminramp-gateway/src/jobs/run.rs
@@ -14,10 +14,10 @@
 
 use super::writer::WriterCommand;
 use crate::interfaces::TargetHead;
-use crate::slots::ask_for_item_slots;
+use crate::slots::request_item_slots;
 use crate::state::{GatewayState, lock};
 use crate::targets::{
-    EventOrder, EventSplitter, SendFailure, TargetAnswer, TargetRequest, TargetRun, send_request,
+    EventOrder, EventSplitter, SendFailure, TargetRequest, TargetResponse, TargetRun, send_request,
 };
 
 /// Maximum interval between two checks for items that expire or can be retried.
@@ -81,7 +81,7 @@
 
     /// Preempts items on a target until at most `max_items` remain, starting with those due last. Returns
     /// the number of preempted items.
-    pub(crate) fn keep(&self, target: &str, max_items: u32) -> u32 {
+    pub(crate) fn preempt_down_to(&self, target: &str, max_items: u32) -> u32 {
         let items = lock(&self.items);
         let on_target = items.iter().filter(|item| *item.target == *target);
         let mut running: Vec<&RunningItem> =
@@ -96,7 +96,7 @@
 /// Stops work on a job that has ended or that this host no longer holds.
 pub(super) fn stop_job(state: &Arc<GatewayState>, job: &str) {
     lock(&state.jobs).remove(job);
-    state.running.stop_job(job);
+    state.running_items.stop_job(job);
     state.writers.remove(job);
     state.request_heartbeat();
 }
@@ -105,12 +105,12 @@
 pub(crate) async fn run_items(state: Arc<GatewayState>) {
     loop {
         tokio::select! {
-            () = state.items_wanted.notified() => {}
+            () = state.item_slots_requested.notified() => {}
             () = tokio::time::sleep(CHECK_INTERVAL) => {}
             () = state.drain.cancelled() => return,
         }
         give_up_expired(&state);
-        ask_for_item_slots(&state);
+        request_item_slots(&state);
         tokio::time::sleep(DEBOUNCE_DELAY).await;
     }
 }
@@ -126,7 +126,7 @@
 
 /// Returns the pool that a job's items are currently sent to.
 pub(crate) fn pool_of(state: &GatewayState, spec: &JobSpec) -> Option<Name> {
-    let declared = state.declared()?;
+    let declared = state.current_declarations()?;
     let path = &spec.items.first()?.path;
     let route = declared.find_route(&spec.host, path)?;
     route.pick_pool(cuminramp_core::hash_parts(&[&spec.id])).cloned()
@@ -137,7 +137,7 @@
     if pool_of(state, spec).as_deref() != Some(pool) {
         return false;
     }
-    let Some(declared) = state.declared() else { return false };
+    let Some(declared) = state.current_declarations() else { return false };
     let path = spec.items.first().map_or("", |item| &item.path);
     let route_home_regions =
         declared.find_route(&spec.host, path).map_or(&[][..], |route| &route.home_regions);
@@ -182,7 +182,7 @@
 fn start_item(state: &Arc<GatewayState>, start: ItemStart, target: FleetTarget) {
     let stop = CancellationToken::new();
     let due = lock(&state.jobs).get(&start.job).map_or_else(Instant::now, |job| job.spec().due);
-    lock(&state.running.items).push(RunningItem {
+    lock(&state.running_items.items).push(RunningItem {
         job: start.job.clone(),
         index: start.index,
         target: target.id.clone(),
@@ -218,7 +218,7 @@
         end = send_item(&state, &start, run, &mut progress) => end,
     };
     progress.run_time += started.elapsed();
-    state.running.remove(&start.job, start.index, &target);
+    state.running_items.remove(&start.job, start.index, &target);
     let events = progress.last_event;
     let (label, reason) = match &end {
         RunEnd::Complete => ("whole", String::new()),
@@ -257,7 +257,7 @@
     if let Some(finished) = finished {
         state.writers.send(&start.job, WriterCommand::List(finished));
     }
-    state.items_wanted.notify_one();
+    state.item_slots_requested.notify_one();
     state.request_heartbeat();
 }
 
@@ -282,7 +282,7 @@
         target: &run.target.id.clone(),
         last_event: progress.last_event,
     };
-    let headers = match state.calls.item_headers(&start.item, &spec.host, &head) {
+    let headers = match state.call_format.item_headers(&start.item, &spec.host, &head) {
         Ok(headers) => headers,
         Err(error) => return RunEnd::Failed(ItemFailure::Failed, error.to_string()),
     };
@@ -295,28 +295,28 @@
         headers,
         body: start.item.body.clone(),
         request_id: Some(start.item.id.clone()),
-        is_fresh: false,
-        head_limit: TARGET_SILENCE_TIMEOUT,
+        needs_new_connection: false,
+        head_timeout: TARGET_SILENCE_TIMEOUT,
     };
     match send_request(run, request).await {
-        Ok(answer) => {
+        Ok(response) => {
             let recorder = ProgressRecorder::new(state, start, progress);
-            read_answer(answer, progress, recorder).await
+            read_response(response, progress, recorder).await
         }
         Err(failure @ (SendFailure::NotSent(_) | SendFailure::Refused { .. })) => {
-            RunEnd::Failed(ItemFailure::Preempted, failure.word().into())
+            RunEnd::Failed(ItemFailure::Preempted, failure.as_str().into())
         }
         Err(failure) => broken(format!("{failure:?}")),
     }
 }
 
 /// Checks the status of a target's response and reads its events.
-async fn read_answer(
-    answer: TargetAnswer,
+async fn read_response(
+    response: TargetResponse,
     progress: &mut ItemProgress,
     recorder: ProgressRecorder,
 ) -> RunEnd {
-    let status = answer.parts.status;
+    let status = response.parts.status;
     if status == StatusCode::UNPROCESSABLE_ENTITY {
         return RunEnd::Failed(ItemFailure::Impossible, status.to_string());
     }
@@ -326,33 +326,34 @@
     if !status.is_success() {
         return broken(status.to_string());
     }
-    read_events(answer, progress, recorder).await
+    read_events(response, progress, recorder).await
 }
 
 /// Reads events into `progress` until the stream ends or fails.
 async fn read_events(
-    mut answer: TargetAnswer,
+    mut response: TargetResponse,
     progress: &mut ItemProgress,
     mut recorder: ProgressRecorder,
 ) -> RunEnd {
     let mut splitter = EventSplitter::default();
     loop {
-        let frame = match tokio::time::timeout(TARGET_SILENCE_TIMEOUT, answer.body.frame()).await {
+        let frame = match tokio::time::timeout(TARGET_SILENCE_TIMEOUT, response.body.frame()).await
+        {
             Err(_) => {
-                answer.run.end_failed();
+                response.run.end_failed();
                 return broken("no data within the timeout");
             }
             Ok(Some(Err(error))) => {
-                answer.run.end_failed();
+                response.run.end_failed();
                 return broken(error.to_string());
             }
             Ok(Some(Ok(frame))) => frame,
             Ok(None) if splitter.rest().is_empty() && progress.last_event.is_some() => {
-                answer.run.end_whole(answer.head.keep_alive);
+                response.run.end_complete(response.head.keep_alive);
                 return RunEnd::Complete;
             }
             Ok(None) => {
-                answer.run.end_failed();
+                response.run.end_failed();
                 return broken("the stream ended without a complete last event");
             }
         };
@@ -372,8 +373,8 @@
             progress.last_event = Some(id);
         }
         recorder.record(progress);
-        if let Some(reason) = splitter.overlong_event() {
-            answer.run.end_failed();
+        if let Some(reason) = splitter.size_error() {
+            response.run.end_failed();
             return broken(reason);
         }
     }
--- a/crates/cuminramp-gateway/src/jobs/takeover.rs
+++ b/crates/cuminramp-gateway/src/jobs/takeover.rs
@@ -27,13 +27,13 @@
 const MAX_ROWS: usize = 500;
 
 /// Scans for orphaned jobs and takes them over until the host drains.
-pub(crate) async fn take_jobs_over(state: Arc<GatewayState>) {
+pub(crate) async fn take_over_jobs(state: Arc<GatewayState>) {
     loop {
         tokio::select! {
             () = tokio::time::sleep(SCAN_INTERVAL) => {}
             () = state.drain.cancelled() => return,
         }
-        if state.started.elapsed() < STARTUP_DELAY {
+        if state.started_at.elapsed() < STARTUP_DELAY {
             continue;
         }
         for listed in state.directory.open_jobs() {
@@ -77,8 +77,8 @@
         return Ok(());
     }
     let mut row = known.row.clone();
-    row.holder_address = state.me.address.to_string();
-    row.holder_incarnation = state.me.incarnation;
+    row.holder_address = state.local_host.address.to_string();
+    row.holder_incarnation = state.local_host.incarnation;
     row.fence += 1;
     let key = job_key(&row.team, &row.id);
     let transaction = Transaction::default().put_at(key, known.version, encode_row(&row));
@@ -112,9 +112,9 @@
         is_ready && peers.is_alive(record, now)
     });
     let mut hosts: Vec<Name> = ready.map(|record| record.host.address.clone()).collect();
-    hosts.push(state.me.address.clone());
+    hosts.push(state.local_host.address.clone());
     rank_by_score(&row.id, &mut hosts, |host| host);
-    hosts[0] == state.me.address
+    hosts[0] == state.local_host.address
 }
 
 /// Converts a job's stored input to its items.
--- a/crates/cuminramp-gateway/src/jobs/writer.rs
+++ b/crates/cuminramp-gateway/src/jobs/writer.rs
@@ -80,7 +80,7 @@
             () = stop.cancelled() => {}
         }
     });
-    state.items_wanted.notify_one();
+    state.item_slots_requested.notify_one();
     state.request_heartbeat();
 }
 
--- a/crates/cuminramp-gateway/src/lib.rs
+++ b/crates/cuminramp-gateway/src/lib.rs
@@ -28,6 +28,6 @@
 
 pub use gateway::{Gateway, GatewayError};
 pub use interfaces::{
-    AnswerHead, CallFormat, CallHead, CallerCall, CallerKey, FleetFormat, FleetStore, FormatError,
-    ListedResult, ResultPage, SteeringCall, TargetHead,
+    CallFormat, CallHead, CallerKey, CallerOperation, FleetFormat, FleetStore, FormatError,
+    ListedResult, ResponseHead, ResultPage, SteeringRequest, TargetHead,
 };
--- a/crates/cuminramp-gateway/src/metrics.rs
+++ b/crates/cuminramp-gateway/src/metrics.rs
@@ -75,7 +75,7 @@
         self.refusals.add(1, &[KeyValue::new("code", i64::from(code))]);
     }
 
-    pub(crate) fn note_placement(&self, placed_by: &'static str, took: Duration) {
+    pub(crate) fn record_placement(&self, placed_by: &'static str, took: Duration) {
         self.placement.record(took.as_secs_f64(), &[KeyValue::new("placed_by", placed_by)]);
     }
 
@@ -91,25 +91,25 @@
         self.store_failures.add(1, &[KeyValue::new("call", call)]);
     }
 
-    pub(crate) fn note_first_event(&self, time: Duration) {
+    pub(crate) fn record_first_event(&self, time: Duration) {
         self.first_event.record(time.as_secs_f64(), &[]);
     }
 
-    pub(crate) fn note_answer(&self, time: Duration) {
+    pub(crate) fn record_answer(&self, time: Duration) {
         self.answer.record(time.as_secs_f64(), &[]);
     }
 
-    pub(crate) fn note_acceptance(&self, time: Duration) {
+    pub(crate) fn record_acceptance(&self, time: Duration) {
         self.acceptance.record(time.as_secs_f64(), &[]);
     }
 
-    pub(crate) fn note_state(&self, declarations: u64, alive_hosts: usize, held_jobs: usize) {
+    pub(crate) fn record_state(&self, declarations: u64, alive_hosts: usize, held_jobs: usize) {
         self.declarations.record(declarations, &[]);
         self.alive_hosts.record(alive_hosts as u64, &[]);
         self.held_jobs.record(held_jobs as u64, &[]);
     }
 
-    pub(crate) fn note_drained(&self, zones: usize) {
+    pub(crate) fn record_drained(&self, zones: usize) {
         self.drained_zones.record(zones as u64, &[]);
     }
 
--- a/crates/cuminramp-gateway/src/online/record.rs
+++ b/crates/cuminramp-gateway/src/online/record.rs
@@ -92,7 +92,7 @@
     pub(crate) fn record_placement(&mut self, placed_by: PlacedBy, elapsed: Duration) {
         self.placed_by = Some(placed_by);
         self.placement_time += elapsed;
-        self.state.metrics.note_placement(placed_by.word(), elapsed);
+        self.state.metrics.record_placement(placed_by.as_str(), elapsed);
     }
 
     /// Records a send to a target.
@@ -130,7 +130,7 @@
         if self.first_event.is_none() {
             let elapsed = self.started.elapsed();
             self.first_event = Some(elapsed);
-            self.state.metrics.note_first_event(elapsed);
+            self.state.metrics.record_first_event(elapsed);
         }
     }
 
@@ -147,7 +147,7 @@
             request_id = &*self.request_id, route = &*self.route, team = &*self.team,
             declarations = self.declarations, sends = self.sends,
             target_id = self.target.as_deref().unwrap_or("-"),
-            placed_by = self.placed_by.map_or("-", PlacedBy::word),
+            placed_by = self.placed_by.map_or("-", PlacedBy::as_str),
             placing_us = self.placement_time.as_micros() as u64,
             code = refusal.code.number(), name = refusal.code.name(),
             execution = refusal.execution.as_str(),
@@ -167,12 +167,12 @@
         let outcome = self.outcome.unwrap_or(RequestOutcome::CallerLeft);
         let elapsed = self.started.elapsed();
         self.state.metrics.count_request(outcome.as_str());
-        self.state.metrics.note_answer(elapsed);
+        self.state.metrics.record_answer(elapsed);
         log::info!(
             request_id = &*self.request_id, route = &*self.route, team = &*self.team,
             declarations = self.declarations, sends = self.sends,
             target_id = self.target.as_deref().unwrap_or("-"),
-            placed_by = self.placed_by.map_or("-", PlacedBy::word),
+            placed_by = self.placed_by.map_or("-", PlacedBy::as_str),
             placing_us = self.placement_time.as_micros() as u64, outcome = outcome.as_str(),
             first_event_ms = self.first_event.map_or(0, |elapsed| elapsed.as_millis() as u64),
             took_ms = elapsed.as_millis() as u64;
--- a/crates/cuminramp-gateway/src/online/relay.rs
+++ b/crates/cuminramp-gateway/src/online/relay.rs
@@ -8,53 +8,53 @@
 use super::RequestOutcome;
 use super::serve::RequestDispatch;
 use super::stream::stream_body;
-use crate::entry::AnswerBody;
-use crate::targets::TargetAnswer;
+use crate::entry::ResponseBody;
+use crate::targets::TargetResponse;
 
 /// Maximum size of an answer that is buffered until it is complete.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// Returns the head of the caller's response to a target's answer.
-fn response_head(dispatch: &RequestDispatch, answer: &TargetAnswer) -> Response<()> {
+fn response_head(dispatch: &RequestDispatch, target_response: &TargetResponse) -> Response<()> {
     let mut response = Response::new(());
-    *response.status_mut() = answer.parts.status;
-    *response.headers_mut() = dispatch.state.calls.answer_headers(&answer.parts);
+    *response.status_mut() = target_response.parts.status;
+    *response.headers_mut() = dispatch.state.call_format.response_headers(&target_response.parts);
     response
 }
 
 /// Passes a stream on to the caller as its events arrive.
 pub(crate) fn relay_stream(
     dispatch: RequestDispatch,
-    answer: TargetAnswer,
-) -> Response<AnswerBody> {
-    let head = response_head(&dispatch, &answer);
-    head.map(|()| AnswerBody::Stream(stream_body(dispatch, answer)))
+    response: TargetResponse,
+) -> Response<ResponseBody> {
+    let head = response_head(&dispatch, &response);
+    head.map(|()| ResponseBody::Stream(stream_body(dispatch, response)))
 }
 
 /// Buffers an answer until it is complete, then passes it on. This way an interrupted answer never looks
 /// complete to the caller, and the request can be sent to another target where it may run again.
 pub(crate) async fn relay_complete(
     mut dispatch: RequestDispatch,
-    mut answer: TargetAnswer,
-) -> Result<Response<AnswerBody>, Refusal> {
+    mut response: TargetResponse,
+) -> Result<Response<ResponseBody>, Refusal> {
     loop {
         let deadline = dispatch.deadline();
-        let head = response_head(&dispatch, &answer);
-        let body = Limited::new(answer.body, MAX_ANSWER_BYTES).collect();
+        let head = response_head(&dispatch, &response);
+        let body = Limited::new(response.body, MAX_ANSWER_BYTES).collect();
         let failure = match tokio::time::timeout_at(deadline, body).await {
-            Ok(Ok(_)) if answer.parts.status.is_server_error() && dispatch.may_run_again() => {
-                format!("the target answered {}", answer.parts.status)
+            Ok(Ok(_)) if response.parts.status.is_server_error() && dispatch.may_run_again() => {
+                format!("the target answered {}", response.parts.status)
             }
             Ok(Ok(body)) => {
-                let is_failed = answer.parts.status.is_server_error();
+                let is_failed = response.parts.status.is_server_error();
                 if !is_failed {
                     dispatch.record_success();
                 }
-                answer.run.end_whole(answer.head.keep_alive);
+                response.run.end_complete(response.head.keep_alive);
                 let outcome =
                     if is_failed { RequestOutcome::TargetFailed } else { RequestOutcome::Answered };
                 dispatch.record.end(outcome);
-                return Ok(head.map(|()| AnswerBody::Whole(Full::new(body.to_bytes()))));
+                return Ok(head.map(|()| ResponseBody::Complete(Full::new(body.to_bytes()))));
             }
             Ok(Err(error)) => {
                 dispatch.record_crash();
@@ -62,16 +62,16 @@
             }
             Err(_) => "answer not complete before the deadline".to_owned(),
         };
-        answer.run.end_failed();
+        response.run.end_failed();
         let next = match dispatch.decide_next_step(FailureStage::Sent, "broken-answer", &failure) {
             Ok(()) => dispatch.send_until_answered().await,
             Err(refusal) => Err(refusal),
         };
-        answer = match next {
-            Ok(answer) if dispatch.is_stream() && answer.parts.status.is_success() => {
-                return Ok(relay_stream(dispatch, answer));
+        response = match next {
+            Ok(response) if dispatch.is_stream() && response.parts.status.is_success() => {
+                return Ok(relay_stream(dispatch, response));
             }
-            Ok(answer) => answer,
+            Ok(response) => response,
             Err(refusal) => {
                 dispatch.record.end_refused(&refusal);
                 return Err(refusal);
--- a/crates/cuminramp-gateway/src/online/serve.rs
+++ b/crates/cuminramp-gateway/src/online/serve.rs
@@ -14,11 +14,11 @@
 
 use super::RequestRecord;
 use super::relay::{relay_complete, relay_stream};
-use crate::entry::{AnswerBody, is_retry};
+use crate::entry::{ResponseBody, is_retry};
 use crate::interfaces::{CallHead, TargetHead};
 use crate::slots::find_slot;
 use crate::state::{GatewayState, lock};
-use crate::targets::{SendFailure, TargetAnswer, TargetRequest, TargetRun, send_request};
+use crate::targets::{SendFailure, TargetRequest, TargetResponse, TargetRun, send_request};
 
 /// Maximum number of sends, for one attempt of a caller, that no target runs because it is full or
 /// unreachable. Each needs a few milliseconds, and the placement table avoids targets that refused.
@@ -162,7 +162,7 @@
     }
 
     /// Sends the request to `target` and waits for the head of the answer.
-    async fn send(&mut self, target: FleetTarget) -> Result<TargetAnswer, SendFailure> {
+    async fn send(&mut self, target: FleetTarget) -> Result<TargetResponse, SendFailure> {
         self.record.record_send(&target.id);
         let head = TargetHead {
             deadline: Some(self.deadline.saturating_duration_since(Instant::now())),
@@ -173,11 +173,11 @@
         let message = TargetRequest {
             method: self.request.parts.method.clone(),
             path: self.request.parts.uri.clone(),
-            headers: self.state.calls.target_headers(&self.request.parts, &head),
+            headers: self.state.call_format.target_headers(&self.request.parts, &head),
             body: self.request.body.clone(),
             request_id: self.request.head.request_id.clone(),
-            is_fresh: !self.request.route.is_repeatable(),
-            head_limit: self.read_timeout(),
+            needs_new_connection: !self.request.route.is_repeatable(),
+            head_timeout: self.read_timeout(),
         };
         self.tried.push(target.id.clone());
         let run = TargetRun::begin(&self.state, target, WorkKind::Online);
@@ -186,7 +186,7 @@
 
     /// Sends the request to one target after another until one answers, or returns the refusal for the
     /// caller. After all usable targets failed, each may be tried again.
-    pub(crate) async fn send_until_answered(&mut self) -> Result<TargetAnswer, Refusal> {
+    pub(crate) async fn send_until_answered(&mut self) -> Result<TargetResponse, Refusal> {
         loop {
             self.check_quarantine()?;
             let target = match self.place().await {
@@ -199,9 +199,9 @@
                 PlacementDecision::NoTarget => return Err(self.refuse_without_target()),
             };
             let failure = match self.send(target).await {
-                Ok(answer) => {
+                Ok(response) => {
                     self.runs += 1;
-                    return Ok(answer);
+                    return Ok(response);
                 }
                 Err(failure) => failure,
             };
@@ -239,7 +239,7 @@
         if matches!(failure, SendFailure::Broken(_)) {
             self.record_crash();
         }
-        self.decide_next_step(stage, failure.word(), &format!("{failure:?}"))
+        self.decide_next_step(stage, failure.as_str(), &format!("{failure:?}"))
     }
 
     /// Applies the retry rules to a failure. `Ok` means that the request is sent again or resumed.
@@ -293,7 +293,7 @@
     state: Arc<GatewayState>,
     request: AdmittedRequest,
     record: RequestRecord,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let mut dispatch = RequestDispatch::new(state, request, record);
     let deadline = dispatch.deadline();
     let result = match tokio::time::timeout_at(deadline, dispatch.send_until_answered()).await {
@@ -306,16 +306,16 @@
             Err(refusal.with_execution(execution))
         }
     };
-    let answer = match result {
-        Ok(answer) => answer,
+    let response = match result {
+        Ok(response) => response,
         Err(refusal) => {
             dispatch.record.end_refused(&refusal);
             return Err(refusal);
         }
     };
-    if dispatch.is_stream() && answer.parts.status.is_success() {
-        Ok(relay_stream(dispatch, answer))
+    if dispatch.is_stream() && response.parts.status.is_success() {
+        Ok(relay_stream(dispatch, response))
     } else {
-        relay_complete(dispatch, answer).await
+        relay_complete(dispatch, response).await
     }
 }
--- a/crates/cuminramp-gateway/src/online/stream.rs
+++ b/crates/cuminramp-gateway/src/online/stream.rs
@@ -13,7 +13,7 @@
 
 use super::RequestOutcome;
 use super::serve::RequestDispatch;
-use crate::targets::{EventSplitter, TargetAnswer};
+use crate::targets::{EventSplitter, TargetResponse};
 
 /// Body frames of the caller's response.
 pub(crate) type EventFrames = BoxStream<'static, Result<Frame<Bytes>, io::Error>>;
@@ -22,7 +22,7 @@
 struct StreamRelay {
     dispatch: RequestDispatch,
     /// Current answer; `None` after the end of the stream.
-    answer: Option<TargetAnswer>,
+    response: Option<TargetResponse>,
     splitter: EventSplitter,
     /// Why the current answer can't be read further; applied once the events before it are passed on.
     read_error: Option<String>,
@@ -42,11 +42,11 @@
 
 /// Returns the body of a streamed answer. Closing the caller's connection drops it, and with it the
 /// target's answer.
-pub(crate) fn stream_body(dispatch: RequestDispatch, answer: TargetAnswer) -> EventFrames {
+pub(crate) fn stream_body(dispatch: RequestDispatch, response: TargetResponse) -> EventFrames {
     let relay = StreamRelay {
         resumed_after: dispatch.last_event,
         dispatch,
-        answer: Some(answer),
+        response: Some(response),
         splitter: EventSplitter::default(),
         read_error: None,
     };
@@ -65,7 +65,7 @@
     /// Returns the next bytes for the caller; `None` after the end.
     async fn next_frame(&mut self) -> Result<Option<Bytes>, io::Error> {
         loop {
-            if self.answer.is_none() {
+            if self.response.is_none() {
                 return Ok(None);
             }
             match self.read_step().await {
@@ -86,7 +86,7 @@
     async fn read_step(&mut self) -> StreamStep {
         loop {
             let taken = self.splitter.take_following(&mut self.dispatch.last_event);
-            self.read_error = self.read_error.take().or(taken.gap);
+            self.read_error = self.read_error.take().or(taken.stop_reason);
             if !taken.bytes.is_empty() {
                 return StreamStep::Events(taken.bytes.freeze());
             }
@@ -94,10 +94,10 @@
                 return StreamStep::Interrupted(reason);
             }
             let timeout = self.dispatch.read_timeout();
-            let Some(answer) = &mut self.answer else {
+            let Some(response) = &mut self.response else {
                 return StreamStep::Interrupted("no answer".into());
             };
-            match tokio::time::timeout(timeout, answer.body.frame()).await {
+            match tokio::time::timeout(timeout, response.body.frame()).await {
                 Err(_) => {
                     return StreamStep::Interrupted(format!(
                         "no data for {} ms",
@@ -126,8 +126,8 @@
 
     /// Ends the stream as complete.
     fn end_complete(&mut self) {
-        if let Some(answer) = self.answer.take() {
-            answer.run.end_whole(answer.head.keep_alive);
+        if let Some(response) = self.response.take() {
+            response.run.end_complete(response.head.keep_alive);
         }
         self.dispatch.record_success();
         self.dispatch.record.end(RequestOutcome::Answered);
@@ -136,8 +136,8 @@
     /// Resumes the stream at another target, or returns an error that aborts the caller's stream: an answer
     /// that ends early must not look complete.
     async fn resume_elsewhere(&mut self, reason: &str) -> Result<(), io::Error> {
-        if let Some(answer) = self.answer.take() {
-            answer.run.end_failed();
+        if let Some(response) = self.response.take() {
+            response.run.end_failed();
         }
         self.splitter = EventSplitter::default();
         let interrupted = |reason: &str| io::Error::other(reason.to_owned());
@@ -157,8 +157,8 @@
             Err(refusal) => Ok(Err(refusal)),
         };
         match outcome {
-            Ok(Ok(answer)) if answer.parts.status.is_success() => {
-                self.answer = Some(answer);
+            Ok(Ok(response)) if response.parts.status.is_success() => {
+                self.response = Some(response);
                 self.resumed_after = self.dispatch.last_event;
                 Ok(())
             }
--- a/crates/cuminramp-gateway/src/peers/heartbeats.rs
+++ b/crates/cuminramp-gateway/src/peers/heartbeats.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use super::socket::{HostSocket, send_to_host};
-use crate::jobs::notice_end;
+use crate::jobs::record_reported_end;
 use crate::state::{GatewayState, lock};
 use crate::sync::{apply_drains, request_updates};
 
@@ -75,20 +75,20 @@
     drop(quota);
     let crash_counts = lock(&state.crashes).seen_lately(CRASH_COUNT_TTL, MAX_CRASH_COUNTS, now);
     HostHeartbeat {
-        host: state.me.clone(),
+        host: state.local_host.clone(),
         sequence,
         is_ready: state.is_ready(),
         has_left: state.has_left.load(Ordering::Relaxed),
         is_join_request: matches!(kind, HeartbeatKind::JoinRequest { .. }),
         wants_hosts: kind == HeartbeatKind::JoinRequest { wants_hosts: true },
-        reaches_store: state.relay.is_reached(),
+        reaches_store: state.relayed_store.is_reachable(),
         declarations,
         targets,
         usage,
         is_usage_full,
         is_settled,
         known_hosts,
-        ended: state.directory.ended_lately(JOB_END_TTL, now),
+        ended: state.directory.recently_ended(JOB_END_TTL, now),
         drains,
         crash_counts: crash_counts
             .into_iter()
@@ -111,15 +111,15 @@
 /// those in all other zones.
 fn peer_addresses(state: &GatewayState, is_near: bool) -> Vec<Name> {
     let peers = lock(&state.peers);
-    let chosen = peers
-        .iter()
-        .filter(|record| !record.has_left && (record.host.zone == state.me.zone) == is_near);
+    let chosen = peers.iter().filter(|record| {
+        !record.has_left && (record.host.zone == state.local_host.zone) == is_near
+    });
     chosen.map(|record| record.host.address.clone()).collect()
 }
 
 /// Sends a join request to a host that may not know this one.
-pub(crate) async fn greet_host(state: &Arc<GatewayState>, address: &Name) {
-    let wants_hosts = !state.has_read_hosts.load(Ordering::Relaxed);
+pub(crate) async fn send_join_request(state: &Arc<GatewayState>, address: &Name) {
+    let wants_hosts = !state.has_read_host_table.load(Ordering::Relaxed);
     let heartbeat = make_heartbeat(state, HeartbeatKind::JoinRequest { wants_hosts });
     send_to_host(state, HostMessage::Heartbeat(heartbeat), address).await;
 }
@@ -132,7 +132,7 @@
         let schedule = lock(&state.peers).schedule();
         tokio::select! {
             () = tokio::time::sleep_until(timer.next_due()) => {}
-            () = state.heartbeat_wanted.notified() => {
+            () = state.heartbeat_requested.notified() => {
                 timer.bring_forward(&schedule, Instant::now());
                 continue;
             }
@@ -151,7 +151,7 @@
 }
 
 /// Sends a heartbeat to every other host at once, and sends it twice, since a datagram may get lost.
-pub(crate) async fn tell_all(state: &Arc<GatewayState>) {
+pub(crate) async fn broadcast_heartbeat(state: &Arc<GatewayState>) {
     let Some(socket) = state.socket.get() else { return };
     for _ in 0..2 {
         send_heartbeat(state, socket, &peer_addresses(state, true)).await;
@@ -194,7 +194,7 @@
         let is_new = lock(&state.peers).discover(&host, now);
         if is_new {
             log::info!(peer = &*host.address, incarnation = host.incarnation, source = &*address; "host-known");
-            greet_host(state, &host.address).await;
+            send_join_request(state, &host.address).await;
         }
     }
 }
@@ -219,7 +219,7 @@
             // The quota needs a full heartbeat as the baseline of the host's counts. The response to a
             // join request is one.
             let (state, address) = (state.clone(), id.address.clone());
-            tokio::spawn(async move { greet_host(&state, &address).await });
+            tokio::spawn(async move { send_join_request(&state, &address).await });
         }
     }
     // Drains are applied before newer declarations are requested: once declarations are in force, requests
@@ -227,7 +227,7 @@
     apply_drains(state, received.drains.clone(), &id.address);
     lock(&state.quota).receive_heartbeat(&received, was_silent, now);
     for ended in &received.ended {
-        notice_end(state, ended, &id);
+        record_reported_end(state, ended, &id);
     }
     for count in &received.crash_counts {
         lock(&state.crashes).merge(count.fingerprint, count.crashes, now);
@@ -236,13 +236,13 @@
         lock(&state.declarations).current().map_or(0, |current| current.version());
     let own_targets = lock(&state.updates).targets_version();
     if received.declarations > own_declarations || received.targets > own_targets {
-        let permit = state.asks_for_updates.try_acquire();
+        let permit = state.update_request_permit.try_acquire();
         if let Ok(permit) = permit {
             permit.forget();
             let state = state.clone();
             tokio::spawn(async move {
                 request_updates(state.clone(), id.address).await;
-                state.asks_for_updates.add_permits(1);
+                state.update_request_permit.add_permits(1);
             });
         }
     }
@@ -252,7 +252,7 @@
 /// Marks hosts that fell silent, so that the quota reserves their part of each rate, and logs each of them.
 ///
 /// `silent` holds the silent hosts of the previous call and is replaced by the present ones.
-pub(crate) fn forget_silent(state: &GatewayState, silent: &mut Vec<HostId>) {
+pub(crate) fn mark_silent_hosts(state: &GatewayState, silent: &mut Vec<HostId>) {
     let now = Instant::now();
     let peers = lock(&state.peers);
     let now_silent: Vec<HostId> = peers
--- a/crates/cuminramp-gateway/src/peers/mod.rs
+++ b/crates/cuminramp-gateway/src/peers/mod.rs
@@ -6,6 +6,8 @@
 mod socket;
 
 pub(crate) use calls::{PeerClients, serve_calls};
-pub(crate) use heartbeats::{forget_silent, greet_host, send_heartbeats, tell_all};
-pub(crate) use pauses::watch_pauses;
+pub(crate) use heartbeats::{
+    broadcast_heartbeat, mark_silent_hosts, send_heartbeats, send_join_request,
+};
+pub(crate) use pauses::detect_pauses;
 pub(crate) use socket::{HostSocket, receive_datagrams, send_to_host};
--- a/crates/cuminramp-gateway/src/peers/pauses.rs
+++ b/crates/cuminramp-gateway/src/peers/pauses.rs
@@ -25,7 +25,7 @@
 /// A host that was suspended resumes with the token buckets and liveness records from before the pause,
 /// while the others went on for seconds. Without a reset, its teams' callers would get their burst twice.
 /// The monotonic clock may stop during the pause, so the check uses the boot clock, which does not.
-pub(crate) async fn watch_pauses(state: Arc<GatewayState>) {
+pub(crate) async fn detect_pauses(state: Arc<GatewayState>) {
     let mut last = boot_time();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
--- a/crates/cuminramp-gateway/src/peers/socket.rs
+++ b/crates/cuminramp-gateway/src/peers/socket.rs
@@ -8,7 +8,9 @@
 use tokio::net::UdpSocket;
 
 use super::heartbeats::handle_heartbeat;
-use crate::slots::{take_command, take_owner_failure, take_report, take_request, take_response};
+use crate::slots::{
+    handle_command, handle_owner_failure, handle_report, handle_request, handle_response,
+};
 use crate::state::GatewayState;
 
 /// Size of the receive buffer. A longer datagram is truncated and rejected as unreadable.
@@ -78,11 +80,11 @@
     let address: Name = from.to_string().into();
     match message {
         HostMessage::Heartbeat(heartbeat) => handle_heartbeat(state, heartbeat, address).await,
-        HostMessage::Report(report) => take_report(state, &address, report).await,
-        HostMessage::Request(slot_request) => take_request(state, &address, slot_request).await,
-        HostMessage::Response(response) => take_response(state, &address, response),
-        HostMessage::Command(command) => take_command(state, &address, command),
-        HostMessage::OwnerFailure(failure) => take_owner_failure(state, &address, &failure),
+        HostMessage::Report(report) => handle_report(state, &address, report).await,
+        HostMessage::Request(slot_request) => handle_request(state, &address, slot_request).await,
+        HostMessage::Response(response) => handle_response(state, &address, response),
+        HostMessage::Command(command) => handle_command(state, &address, command),
+        HostMessage::OwnerFailure(failure) => handle_owner_failure(state, &address, &failure),
     }
 }
 
--- a/crates/cuminramp-gateway/src/slots/mod.rs
+++ b/crates/cuminramp-gateway/src/slots/mod.rs
@@ -18,9 +18,11 @@
 use crate::jobs::may_run_in;
 use crate::state::{GatewayState, lock};
 
-pub(crate) use owner::{maintain_owned_groups, take_owner_failure, take_report, take_request};
-pub(crate) use report::{ask_for_item_slots, send_reports, take_command};
-pub(crate) use request::{PlacedBy, find_slot, take_response};
+pub(crate) use owner::{
+    handle_owner_failure, handle_report, handle_request, maintain_owned_groups,
+};
+pub(crate) use report::{handle_command, request_item_slots, send_reports};
+pub(crate) use request::{PlacedBy, find_slot, handle_response};
 
 /// State of the slots that this host owns and of those that it uses.
 pub(crate) struct SlotState {
--- a/crates/cuminramp-gateway/src/slots/owner.rs
+++ b/crates/cuminramp-gateway/src/slots/owner.rs
@@ -46,7 +46,7 @@
 }
 
 /// Handles a slot request from another host.
-pub(crate) async fn take_request(state: &Arc<GatewayState>, from: &Name, request: SlotRequest) {
+pub(crate) async fn handle_request(state: &Arc<GatewayState>, from: &Name, request: SlotRequest) {
     let host = HostId { address: from.clone(), incarnation: request.incarnation };
     let group = lock(&state.placement).group_by_hash(request.group).cloned();
     // This host has not read the targets of the group yet. Without a response the requesting host turns to
@@ -56,7 +56,7 @@
 }
 
 /// Handles a report from another host of what it has in flight.
-pub(crate) async fn take_report(state: &Arc<GatewayState>, from: &Name, report: SlotReport) {
+pub(crate) async fn handle_report(state: &Arc<GatewayState>, from: &Name, report: SlotReport) {
     let host = HostId { address: from.clone(), incarnation: report.incarnation };
     let group = {
         let mut placement = lock(&state.placement);
@@ -116,7 +116,7 @@
 }
 
 /// Handles a report from another host that an owner is silent.
-pub(crate) fn take_owner_failure(state: &GatewayState, from: &Name, failure: &OwnerFailure) {
+pub(crate) fn handle_owner_failure(state: &GatewayState, from: &Name, failure: &OwnerFailure) {
     let failed = failure.failed_host();
     let is_new = lock(&state.slots.owners).receive_failure(from, &failed, Instant::now());
     if is_new {
--- a/crates/cuminramp-gateway/src/slots/report.rs
+++ b/crates/cuminramp-gateway/src/slots/report.rs
@@ -58,7 +58,7 @@
     let acknowledged_grant = state.slots.acknowledge_grants(&owner.address);
     let mut placement = lock(&state.placement);
     SlotReport {
-        incarnation: state.me.incarnation,
+        incarnation: state.local_host.incarnation,
         sequence: state.slots.report_sequence.fetch_add(1, Ordering::Relaxed),
         group: group.hash(),
         acknowledged_grant,
@@ -72,11 +72,11 @@
 
 /// Reports waiting items to owners: to the owner in this host's zone at once, to those of other zones with
 /// the next scheduled report. If all owners received it at once, each would grant slots for the same items.
-pub(crate) fn ask_for_item_slots(state: &GatewayState) {
+pub(crate) fn request_item_slots(state: &GatewayState) {
     for pool in waiting_pools(state) {
         let groups = lock(&state.placement).groups(&pool);
         for group in groups {
-            if group.zone == state.me.zone {
+            if group.zone == state.local_host.zone {
                 state.slots.bring_report_forward(&group);
             } else {
                 state.slots.schedule_report(&group);
@@ -86,7 +86,7 @@
 }
 
 /// Handles a command from an owner.
-pub(crate) fn take_command(state: &Arc<GatewayState>, from: &Name, command: SlotCommand) {
+pub(crate) fn handle_command(state: &Arc<GatewayState>, from: &Name, command: SlotCommand) {
     match command {
         SlotCommand::Limit { target, items } => limit_running_items(state, target, items),
         SlotCommand::Start { group, grant, target, items } => {
@@ -105,7 +105,7 @@
     else {
         return;
     };
-    let stopped = state.running.keep(&id, u32::from(items));
+    let stopped = state.running_items.preempt_down_to(&id, u32::from(items));
     if stopped > 0 {
         log::info!(target_id = &*id, kept = items, stopped = stopped; "items-give-way");
     }
--- a/crates/cuminramp-gateway/src/slots/request.rs
+++ b/crates/cuminramp-gateway/src/slots/request.rs
@@ -44,7 +44,7 @@
 
 impl PlacedBy {
     /// Returns the value of `placed_by` in log lines and metrics.
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
             PlacedBy::Owner => "owner",
             PlacedBy::LocalOwner => "itself",
@@ -69,7 +69,7 @@
     failed.extend(unreachable.iter().chain(&unreachable).cloned());
     let mut search = {
         let mut random = lock(&state.random);
-        SlotSearch::new(groups, &state.me.zone, &mut **random).after_failures(&failed)
+        SlotSearch::new(groups, &state.local_host.zone, &mut **random).after_failures(&failed)
     };
     let search_limits = SearchLimits {
         max_wait: request.objective.mul_f64(lock(&state.placement).wait_share()),
@@ -165,7 +165,7 @@
     avoided.extend(placement.hashes_of(tried));
     drop(placement);
     SlotRequest {
-        incarnation: state.me.incarnation,
+        incarnation: state.local_host.incarnation,
         request_id: state.slots.next_request_id.fetch_add(1, Ordering::Relaxed),
         group: group.hash(),
         avoided,
@@ -252,7 +252,7 @@
 }
 
 /// Handles an owner's response to a slot request.
-pub(crate) fn take_response(state: &GatewayState, from: &Name, response: SlotResponse) {
+pub(crate) fn handle_response(state: &GatewayState, from: &Name, response: SlotResponse) {
     let pending = lock(&state.slots.pending_requests).remove(&response.request_id);
     let undelivered = match pending {
         Some(sender) => sender.send(response).err(),
--- a/crates/cuminramp-gateway/src/state.rs
+++ b/crates/cuminramp-gateway/src/state.rs
@@ -37,16 +37,16 @@
 pub(crate) struct GatewayState {
     pub(crate) settings: GatewaySettings,
     /// This host, as its heartbeats describe it.
-    pub(crate) me: KnownHost,
+    pub(crate) local_host: KnownHost,
     /// The store, called through other hosts while it does not answer this one.
     pub(crate) store: Arc<dyn FleetStore>,
     /// The same object as `store`, by its own type, for checks of whether the store answers this host.
-    pub(crate) relay: Arc<RelayedStore>,
+    pub(crate) relayed_store: Arc<RelayedStore>,
     /// The store, called by this host alone.
     pub(crate) direct_store: Arc<dyn FleetStore>,
-    pub(crate) clients: PeerClients,
-    pub(crate) calls: Arc<dyn CallFormat>,
-    pub(crate) fleet: Arc<dyn FleetFormat>,
+    pub(crate) peer_clients: PeerClients,
+    pub(crate) call_format: Arc<dyn CallFormat>,
+    pub(crate) fleet_format: Arc<dyn FleetFormat>,
     pub(crate) declarations: Mutex<DeclarationStore>,
     pub(crate) drains: Mutex<DrainTable>,
     pub(crate) regions: RegionMap,
@@ -58,7 +58,7 @@
     pub(crate) jobs: Mutex<JobTable>,
     pub(crate) directory: JobDirectory,
     pub(crate) writers: JobWriters,
-    pub(crate) running: RunningItems,
+    pub(crate) running_items: RunningItems,
     pub(crate) connections: TargetConnections,
     pub(crate) updates: Mutex<UpdateRows>,
     pub(crate) random: Mutex<Box<dyn RandomSource>>,
@@ -67,14 +67,14 @@
     pub(crate) socket: OnceLock<HostSocket>,
     pub(crate) heartbeat_sequence: AtomicU64,
     /// Whether the table of hosts was read since the start. Until then, join requests ask for known hosts.
-    pub(crate) has_read_hosts: AtomicBool,
+    pub(crate) has_read_host_table: AtomicBool,
     /// Limits requests for updates to one at a time.
-    pub(crate) asks_for_updates: Semaphore,
+    pub(crate) update_request_permit: Semaphore,
     /// Notified when the next heartbeats are to be sent soon.
-    pub(crate) heartbeat_wanted: Notify,
+    pub(crate) heartbeat_requested: Notify,
     /// Notified when slots are to be requested for waiting items.
-    pub(crate) items_wanted: Notify,
-    pub(crate) started: Instant,
+    pub(crate) item_slots_requested: Notify,
+    pub(crate) started_at: Instant,
     pub(crate) is_draining: AtomicBool,
     /// Whether the drain has ended; the last heartbeats report it.
     pub(crate) has_left: AtomicBool,
@@ -91,11 +91,14 @@
 impl GatewayState {
     /// Returns the address and incarnation of this run.
     pub(crate) fn id(&self) -> HostId {
-        HostId { address: self.me.address.clone(), incarnation: self.me.incarnation }
+        HostId {
+            address: self.local_host.address.clone(),
+            incarnation: self.local_host.incarnation,
+        }
     }
 
     /// Returns the declarations in force; `None` until some were read.
-    pub(crate) fn declared(&self) -> Option<Arc<FleetDeclarations>> {
+    pub(crate) fn current_declarations(&self) -> Option<Arc<FleetDeclarations>> {
         lock(&self.declarations).current().cloned()
     }
 
@@ -113,7 +116,8 @@
         if lock(&self.peers).has_at_least_half(Instant::now()) {
             return false;
         }
-        !self.relay.is_reached() || !self.relay.answers_within(STORE_CHECK_TIMEOUT).await
+        !self.relayed_store.is_reachable()
+            || !self.relayed_store.check_within(STORE_CHECK_TIMEOUT).await
     }
 
     /// Whether the host drains before it leaves.
@@ -123,11 +127,11 @@
 
     /// Sends heartbeats to the other hosts soon, to report a change.
     pub(crate) fn request_heartbeat(&self) {
-        self.heartbeat_wanted.notify_one();
+        self.heartbeat_requested.notify_one();
     }
 
     /// Returns a random number below `bound`, used to spread work.
-    pub(crate) fn draw(&self, bound: usize) -> usize {
+    pub(crate) fn random_below(&self, bound: usize) -> usize {
         lock(&self.random).below(bound)
     }
 }
--- a/crates/cuminramp-gateway/src/sync/drains.rs
+++ b/crates/cuminramp-gateway/src/sync/drains.rs
@@ -11,7 +11,7 @@
 /// Applies the drains in a full snapshot of the declarations table, which also holds the operators' rows.
 pub(super) fn apply_drain_snapshot(state: &Arc<GatewayState>, snapshot: &TableSnapshot) {
     let listed = snapshot.rows.iter().filter_map(|row| {
-        let zone = state.fleet.drained_zone(&row.key)?;
+        let zone = state.fleet_format.drained_zone(&row.key)?;
         Some(ZoneDrain { zone, version: row.version, is_drained: true })
     });
     let now = Instant::now();
@@ -22,7 +22,7 @@
 /// Applies the drains among changed rows of the declarations table.
 pub(super) fn apply_drain_changes(state: &Arc<GatewayState>, changes: &[RowChange]) {
     let changed = changes.iter().filter_map(|change| {
-        let zone = state.fleet.drained_zone(&change.row.key)?;
+        let zone = state.fleet_format.drained_zone(&change.row.key)?;
         Some(ZoneDrain { zone, version: change.row.version, is_drained: !change.is_deleted })
     });
     apply_drains(state, changed.collect(), "store");
@@ -56,5 +56,5 @@
         );
     }
     state.request_heartbeat();
-    state.items_wanted.notify_one();
+    state.item_slots_requested.notify_one();
 }
--- a/crates/cuminramp-gateway/src/sync/hosts.rs
+++ b/crates/cuminramp-gateway/src/sync/hosts.rs
@@ -9,7 +9,7 @@
 use cuminramp_wire::{decode_row, encode_row};
 use tokio::time::Instant;
 
-use crate::peers::greet_host;
+use crate::peers::send_join_request;
 use crate::state::{GatewayState, lock};
 
 /// Name of the hosts table.
@@ -24,24 +24,24 @@
 
 /// Writes this host's row and retries until the write succeeds.
 pub(crate) async fn announce_host(state: Arc<GatewayState>) {
-    let me = &state.me;
+    let local_host = &state.local_host;
     let row = HostRow {
-        address: me.address.to_string(),
-        incarnation: me.incarnation,
-        caller_address: me.caller_address.to_string(),
-        zone: me.zone.to_string(),
+        address: local_host.address.to_string(),
+        incarnation: local_host.incarnation,
+        caller_address: local_host.caller_address.to_string(),
+        zone: local_host.zone.to_string(),
     };
-    let transaction = Transaction::default().put(key_of(&me.address), encode_row(&row));
+    let transaction = Transaction::default().put(key_of(&local_host.address), encode_row(&row));
     while let Err(error) = state.store.commit(transaction.clone()).await {
         let reason = error.to_string();
         log::warn!(reason = reason.as_str(); "host-not-announced");
         tokio::time::sleep(RETRY_DELAY).await;
     }
-    log::info!(address = &*me.address, incarnation = me.incarnation; "host-announced");
+    log::info!(address = &*local_host.address, incarnation = local_host.incarnation; "host-announced");
 }
 
 /// Reads the rows of all hosts and sends a join request to each new one.
-pub(crate) async fn learn_hosts(state: &Arc<GatewayState>) -> Result<(), StoreError> {
+pub(crate) async fn discover_hosts(state: &Arc<GatewayState>) -> Result<(), StoreError> {
     let snapshot = state.store.snapshot(TABLE).await?;
     for row in snapshot.rows {
         let host = match decode_row::<HostRow>(&row.value) {
@@ -60,7 +60,7 @@
         };
         let is_new = lock(&state.peers).discover(&known, Instant::now());
         if is_new {
-            greet_host(state, &known.address).await;
+            send_join_request(state, &known.address).await;
         }
     }
     Ok(())
@@ -70,7 +70,7 @@
 /// an address, and heartbeats decide whether a host is alive.
 pub(crate) async fn withdraw_host(state: &Arc<GatewayState>) {
     let transaction =
-        Transaction { deletes: vec![key_of(&state.me.address)], ..Transaction::default() };
+        Transaction { deletes: vec![key_of(&state.local_host.address)], ..Transaction::default() };
     if let Err(error) = state.store.commit(transaction).await {
         let reason = error.to_string();
         log::warn!(reason = reason.as_str(); "host-not-withdrawn");
--- a/crates/cuminramp-gateway/src/sync/mod.rs
+++ b/crates/cuminramp-gateway/src/sync/mod.rs
@@ -11,7 +11,7 @@
 
 pub(crate) use drains::apply_drains;
 pub(crate) use follow::{TableFollower, follow_table};
-pub(crate) use hosts::{announce_host, learn_hosts, withdraw_host};
+pub(crate) use hosts::{announce_host, discover_hosts, withdraw_host};
 pub(crate) use relay::{RelayedStore, answer_store_call};
 pub(crate) use updates::{
     DeclarationsFollower, TargetsFollower, UpdateRows, answer_updates, drop_missing_targets,
--- a/crates/cuminramp-gateway/src/sync/relay.rs
+++ b/crates/cuminramp-gateway/src/sync/relay.rs
@@ -54,12 +54,12 @@
     }
 
     /// Returns whether the store answers this host, as of the last direct call.
-    pub(crate) fn is_reached(&self) -> bool {
+    pub(crate) fn is_reachable(&self) -> bool {
         !self.is_lost.load(Ordering::Relaxed)
     }
 
     /// Makes a small read and returns whether the store answers this host within `limit`.
-    pub(crate) async fn answers_within(&self, limit: Duration) -> bool {
+    pub(crate) async fn check_within(&self, limit: Duration) -> bool {
         let Some(state) = self.state() else { return false };
         let key = host_key(&state);
         let reading = self.direct.read(std::slice::from_ref(&key));
@@ -95,10 +95,10 @@
     /// Makes a call through another host. Returns `None` if no live host reaches the store.
     async fn relay(&self, call: Call, limit: Duration) -> Option<Result<StoreReply, StoreError>> {
         let state = self.state()?;
-        let spread = state.draw(usize::MAX >> 1);
+        let spread = state.random_below(usize::MAX >> 1);
         let peer = lock(&state.peers).store_relay(spread, Instant::now())?;
         let call = StoreCall { call: Some(call) };
-        let reply = match state.clients.call_store(&peer, call, limit).await {
+        let reply = match state.peer_clients.call_store(&peer, call, limit).await {
             Some(reply) => reply,
             None => return Some(Err(StoreError::Unknown(format!("{peer} did not reply")))),
         };
@@ -120,7 +120,7 @@
         limit: Duration,
         read: impl FnOnce(StoreReply) -> T,
     ) -> Result<T, StoreError> {
-        if self.is_reached() {
+        if self.is_reachable() {
             match direct.await {
                 Ok(value) => return Ok(value),
                 Err(error) => {
@@ -141,7 +141,7 @@
 
 /// Returns the key of this host's own row, which is small and thus a cheap read to probe the store with.
 fn host_key(state: &GatewayState) -> String {
-    format!("hosts//{}", state.me.address)
+    format!("hosts//{}", state.local_host.address)
 }
 
 /// Retries a small read until the store answers or the gateway stops.
@@ -154,7 +154,7 @@
             () = state.stop.cancelled() => return,
         }
     }
-    state.relay.is_lost.store(false, Ordering::Relaxed);
+    state.relayed_store.is_lost.store(false, Ordering::Relaxed);
     log::info!(after_ms = started_at.elapsed().as_millis() as u64; "store-in-reach");
     state.request_heartbeat();
 }
@@ -203,7 +203,7 @@
     /// Commits directly, and through another host only if the direct commit certainly had no effect. If its
     /// outcome is unknown, the caller has to read the rows back first.
     async fn commit(&self, transaction: Transaction) -> Result<CommitOutcome, StoreError> {
-        if self.is_reached() {
+        if self.is_reachable() {
             match self.direct.commit(transaction.clone()).await {
                 Ok(outcome) => return Ok(outcome),
                 Err(error @ StoreError::Unknown(_)) => {
--- a/crates/cuminramp-gateway/src/sync/updates.rs
+++ b/crates/cuminramp-gateway/src/sync/updates.rs
@@ -110,7 +110,7 @@
 
 /// Puts declarations into force if they are newer than the current ones.
 fn apply_declarations(state: &Arc<GatewayState>, row: Row, source: &str) {
-    let declared = match state.fleet.read_declarations(&row) {
+    let declared = match state.fleet_format.read_declarations(&row) {
         Ok(Some(declared)) => declared,
         Ok(None) => return,
         Err(error) => {
@@ -134,7 +134,7 @@
     );
     lock(&state.updates).declarations.insert(row.key.clone(), row);
     state.request_heartbeat();
-    state.items_wanted.notify_one();
+    state.item_slots_requested.notify_one();
 }
 
 #[async_trait]
@@ -167,7 +167,7 @@
         let actions = updates.targets.apply_changes(changes, version, may_have_expired, now);
         drop(updates);
         apply_actions(state, actions, "store");
-        state.items_wanted.notify_one();
+        state.item_slots_requested.notify_one();
     }
 }
 
@@ -190,7 +190,7 @@
 /// with outdated data.
 fn put_target(state: &Arc<GatewayState>, row: KnownRow, source: &str) {
     let row = Row { key: row.key, value: row.value, version: row.version };
-    match state.fleet.read_target(&row) {
+    match state.fleet_format.read_target(&row) {
         Ok(target) => {
             let phase = format!("{:?}", target.phase);
             log::info!(
@@ -207,7 +207,7 @@
                 key = row.key.as_str(), row_version = row.version, reason = reason.as_str();
                 "target-unreadable"
             );
-            if let Some(id) = state.fleet.target_id(&row.key) {
+            if let Some(id) = state.fleet_format.target_id(&row.key) {
                 lock(&state.placement).remove(&id);
             }
         }
@@ -215,7 +215,7 @@
 }
 
 fn remove_target(state: &Arc<GatewayState>, key: &str, version: u64, source: &str) {
-    let Some(id) = state.fleet.target_id(key) else { return };
+    let Some(id) = state.fleet_format.target_id(key) else { return };
     log::info!(target_id = &*id, row_version = version, source = source; "target-gone");
     lock(&state.placement).remove(&id);
 }
@@ -268,7 +268,7 @@
         return;
     }
     let request = NewsRequest { declarations, targets };
-    let Some(reply) = state.clients.fetch_updates(&address, request).await else {
+    let Some(reply) = state.peer_clients.fetch_updates(&address, request).await else {
         log::warn!(peer = &*address; "news-unanswered");
         return;
     };
--- a/crates/cuminramp-gateway/src/targets/events.rs
+++ b/crates/cuminramp-gateway/src/targets/events.rs
@@ -61,7 +61,7 @@
     /// Bytes of the events.
     pub(crate) bytes: BytesMut,
     /// Why no more events can be taken from this stream: a gap or an event that is too long.
-    pub(crate) gap: Option<String>,
+    pub(crate) stop_reason: Option<String>,
 }
 
 /// Maximum size of an event in bytes. Targets send events of a few hundred bytes. A target that never ended
@@ -122,7 +122,7 @@
             match EventOrder::of(event.id, *last) {
                 EventOrder::Repeated => continue,
                 EventOrder::Gap(reason) => {
-                    taken.gap = Some(reason);
+                    taken.stop_reason = Some(reason);
                     return taken;
                 }
                 EventOrder::Next => {}
@@ -130,12 +130,12 @@
             *last = event.id.or(*last);
             taken.bytes.extend_from_slice(&event.raw);
         }
-        taken.gap = self.overlong_event();
+        taken.stop_reason = self.size_error();
         taken
     }
 
     /// Returns an error text if the incomplete event is longer than [`MAX_EVENT_BYTES`].
-    pub(crate) fn overlong_event(&self) -> Option<String> {
+    pub(crate) fn size_error(&self) -> Option<String> {
         let is_too_long = self.buffer.len() > MAX_EVENT_BYTES;
         is_too_long.then(|| format!("an event of over {MAX_EVENT_BYTES} bytes"))
     }
--- a/crates/cuminramp-gateway/src/targets/events/tests.rs
+++ b/crates/cuminramp-gateway/src/targets/events/tests.rs
@@ -41,7 +41,7 @@
     let taken = splitter.take_following(&mut last);
 
     assert_eq!(&taken.bytes[..], b"id: 5\ndata: a\n\nid: 6\ndata: b\n\n");
-    assert_eq!((taken.gap.as_deref(), last), (Some("event 8 follows 6"), Some(6)));
+    assert_eq!((taken.stop_reason.as_deref(), last), (Some("event 8 follows 6"), Some(6)));
 }
 
 /// A target sends bytes without end and never ends its event. Waiting for the end would use up the memory of
@@ -54,7 +54,7 @@
     let taken = splitter.take_following(&mut None);
 
     assert!(taken.bytes.is_empty());
-    assert!(taken.gap.is_some());
+    assert!(taken.stop_reason.is_some());
 }
 
 /// Returns a stream of events with these numbers, as a target sends it.
@@ -77,7 +77,7 @@
             splitter.push(piece);
             let taken = splitter.take_following(&mut last);
             passed_on.extend_from_slice(&taken.bytes);
-            if taken.gap.is_some() {
+            if taken.stop_reason.is_some() {
                 break;
             }
         }
--- a/crates/cuminramp-gateway/src/targets/mod.rs
+++ b/crates/cuminramp-gateway/src/targets/mod.rs
@@ -6,4 +6,4 @@
 
 pub(crate) use connections::{TargetConnection, TargetConnections};
 pub(crate) use events::{EventOrder, EventSplitter};
-pub(crate) use send::{SendFailure, TargetAnswer, TargetRequest, TargetRun, send_request};
+pub(crate) use send::{SendFailure, TargetRequest, TargetResponse, TargetRun, send_request};
--- a/crates/cuminramp-gateway/src/targets/send.rs
+++ b/crates/cuminramp-gateway/src/targets/send.rs
@@ -12,8 +12,8 @@
 use tokio::time::Instant;
 
 use super::TargetConnection;
-use crate::entry::PROMISES;
-use crate::interfaces::AnswerHead;
+use crate::entry::NOT_RUN_STATUSES;
+use crate::interfaces::ResponseHead;
 use crate::state::{GatewayState, lock};
 
 /// A request to a target.
@@ -26,9 +26,9 @@
     /// Request id that the response has to carry.
     pub(crate) request_id: Option<Name>,
     /// Whether the request is sent over a new connection.
-    pub(crate) is_fresh: bool,
+    pub(crate) needs_new_connection: bool,
     /// Timeout for the head of the response.
-    pub(crate) head_limit: Duration,
+    pub(crate) head_timeout: Duration,
 }
 
 /// Why a request got no usable response.
@@ -53,7 +53,7 @@
 
 impl SendFailure {
     /// Returns the value for logs and metrics.
-    pub(crate) fn word(&self) -> &'static str {
+    pub(crate) fn as_str(&self) -> &'static str {
         match self {
             SendFailure::NotSent(_) => "not-sent",
             SendFailure::Refused { is_misdirected: true, .. } => "misdirected",
@@ -94,7 +94,7 @@
     }
 
     /// Records a complete response, and keeps the connection for reuse.
-    pub(crate) fn end_whole(mut self, keep_alive: Option<Duration>) {
+    pub(crate) fn end_complete(mut self, keep_alive: Option<Duration>) {
         if let Some(connection) = self.connection.take() {
             self.state.connections.put_back(connection, keep_alive);
         }
@@ -121,10 +121,10 @@
 }
 
 /// A response whose head was received.
-pub(crate) struct TargetAnswer {
+pub(crate) struct TargetResponse {
     pub(crate) run: TargetRun,
     pub(crate) parts: response::Parts,
-    pub(crate) head: AnswerHead,
+    pub(crate) head: ResponseHead,
     pub(crate) body: Incoming,
 }
 
@@ -132,7 +132,7 @@
 pub(crate) async fn send_request(
     mut run: TargetRun,
     request: TargetRequest,
-) -> Result<TargetAnswer, SendFailure> {
+) -> Result<TargetResponse, SendFailure> {
     let state = run.state.clone();
     let outcome = exchange(&mut run, request).await;
     match &outcome {
@@ -143,20 +143,21 @@
         Err(failure) => record_send_failure(&state, run.target.clone(), failure),
     }
     let (parts, head, body) = outcome?;
-    Ok(TargetAnswer { run, parts, head, body })
+    Ok(TargetResponse { run, parts, head, body })
 }
 
 async fn exchange(
     run: &mut TargetRun,
     request: TargetRequest,
-) -> Result<(response::Parts, AnswerHead, Incoming), SendFailure> {
+) -> Result<(response::Parts, ResponseHead, Incoming), SendFailure> {
     let state = run.state.clone();
-    let mut connection = state.connections.acquire(&run.target.address, request.is_fresh).await;
+    let mut connection =
+        state.connections.acquire(&run.target.address, request.needs_new_connection).await;
     if let Err(error) = &connection {
         return Err(SendFailure::NotSent(error.to_string()));
     }
     let mut http_request = build_http_request(&request);
-    let deadline = Instant::now() + request.head_limit;
+    let deadline = Instant::now() + request.head_timeout;
     let (response, is_reused) = loop {
         let acquired = connection.map_err(|error| SendFailure::NotSent(error.to_string()))?;
         let is_reused = acquired.is_reused;
@@ -165,7 +166,7 @@
             return Err(SendFailure::NotSent("connection is gone".into()));
         };
         match tokio::time::timeout_at(deadline, sender.try_send_request(http_request)).await {
-            Err(_) => return Err(SendFailure::Silent(request.head_limit)),
+            Err(_) => return Err(SendFailure::Silent(request.head_timeout)),
             Ok(Ok(response)) => break (response, is_reused),
             Ok(Err(mut error)) => match error.take_message() {
                 // The idle connection was closed before a byte of the request was sent.
@@ -179,10 +180,10 @@
         }
     };
     let (parts, body) = response.into_parts();
-    let head = state.calls.read_answer(&parts);
+    let head = state.call_format.read_response(&parts);
     check_response(&request, &parts, &head, is_reused)?;
-    if let Some(busy) = head.busy {
-        lock(&state.placement).record_load(&run.target.id, busy, Instant::now());
+    if let Some(active_requests) = head.active_requests {
+        lock(&state.placement).record_load(&run.target.id, active_requests, Instant::now());
     }
     Ok((parts, head, body))
 }
@@ -194,7 +195,7 @@
 fn check_response(
     request: &TargetRequest,
     parts: &response::Parts,
-    head: &AnswerHead,
+    head: &ResponseHead,
     is_reused: bool,
 ) -> Result<(), SendFailure> {
     let is_for_request = head.request_id == request.request_id;
@@ -209,7 +210,7 @@
         return Err(SendFailure::Foreign);
     }
     // The status would promise the caller that the request was not run, which the target did not state.
-    if PROMISES.contains(&parts.status.as_u16()) {
+    if NOT_RUN_STATUSES.contains(&parts.status.as_u16()) {
         return Err(SendFailure::Broken(parts.status.to_string()));
     }
     Ok(())
@@ -225,7 +226,7 @@
 
 /// Records a failed send in the placement table, so that the next request avoids the target.
 fn record_send_failure(state: &GatewayState, target: FleetTarget, failure: &SendFailure) {
-    state.metrics.count_attempt(failure.word());
+    state.metrics.count_attempt(failure.as_str());
     let now = Instant::now();
     let mut placement = lock(&state.placement);
     match failure {
