--- a/crates/cuminramp-batch/src/chunk.rs
+++ b/crates/cuminramp-batch/src/chunk.rs
@@ -51,17 +51,17 @@
 
 /// Returns whether a chunk may be leased, which is when it is free or its holder is gone.
 ///
-/// `is_gone` may be wrong: a holder that is still alive loses its lease, and its commit is then
+/// `is_dead` may be wrong: a holder that is still alive loses its lease, and its commit is then
 /// rejected because of the fencing number. At worst items are run twice, but never committed twice.
 ///
 /// ```
 /// use cuminramp_wire::rows::ChunkRow;
 /// assert!(cuminramp_batch::is_claimable(&ChunkRow::default(), |_| false));
 /// ```
-pub fn is_claimable(row: &ChunkRow, is_gone: impl Fn(&HostId) -> bool) -> bool {
+pub fn is_claimable(row: &ChunkRow, is_dead: impl Fn(&HostId) -> bool) -> bool {
     match row.state() {
         ChunkState::Free => true,
-        ChunkState::Leased => is_gone(&holder_of(row)),
+        ChunkState::Leased => is_dead(&holder_of(row)),
         ChunkState::Done => false,
     }
 }
--- a/crates/cuminramp-cli/src/bench/roles.rs
+++ b/crates/cuminramp-cli/src/bench/roles.rs
@@ -165,7 +165,7 @@
     let mut ledger = QuotaLedger::new(me.clone(), policy, now);
     for shard in 0..shards {
         let row = ShardMove { shard, from_epoch: 0, owner: me.clone() }.to_row();
-        ledger.shards_mut().observe(&row, now);
+        ledger.shards_mut().apply_row(&row, now);
     }
     ledger
 }
@@ -209,7 +209,7 @@
 fn member_table(count: usize, now: Instant) -> MemberTable {
     let mut table = MemberTable::new(host(0), MemberPolicy::default(), now);
     for other in hosts(count).into_iter().skip(1) {
-        let state = MemberTable::new(other, MemberPolicy::default(), now).my_state();
+        let state = MemberTable::new(other, MemberPolicy::default(), now).local_state();
         table.on_message(&state, now);
     }
     table
@@ -232,7 +232,7 @@
         table.take_updates(None);
     }
     let make = |table: &mut MemberTable| Probe {
-        sender: Some(table.my_state()),
+        sender: Some(table.local_state()),
         updates: table.take_updates(Some("10.0.0.1:8082")),
         digest: Some(VersionDigest {
             generation: 5_100,
@@ -250,7 +250,7 @@
 
 fn measure_steering(count: usize) -> RolePoint {
     let hosts = hosts(count);
-    let planner = SteeringPlanner { homes: 3, keep: Duration::from_secs(30) };
+    let planner = SteeringPlanner { max_hosts: 3, ttl: Duration::from_secs(30) };
     let micros = mean_micros(ITERATIONS / 10, |index| {
         let team = team_name(index as usize);
         std::hint::black_box(planner.plan(&team, "zone-0", &hosts, &[]));
@@ -264,7 +264,7 @@
         .map(|index| TargetSpec {
             name: format!("engine-{index}").into(),
             slots: 64,
-            leaving: false,
+            is_draining: false,
         })
         .collect();
     let (mut table, bytes) = measure_allocation(|| TargetTable::new(TargetPolicy::default()));
--- a/crates/cuminramp-daemon/src/admission.rs
+++ b/crates/cuminramp-daemon/src/admission.rs
@@ -4,7 +4,7 @@
 
 use cuminramp_core::{Name, Refusal, ResultCode};
 use cuminramp_quota::{
-    Admission, BorrowPlan, Lender, LoanAnswer, LoanRequest, Millitokens, TOKEN, TeamLimits,
+    Admission, BorrowPlan, Lender, LoanRequest, LoanResponse, Millitokens, TOKEN, TeamLimits,
 };
 use cuminramp_routes::{Charge, Team};
 use cuminramp_settings::QuotaPolicy;
@@ -97,14 +97,14 @@
 /// request is there.
 async fn borrow(state: &DaemonState, team: &Name, plan: &BorrowPlan) {
     let mut missing = plan.missing;
-    let mut ahead = plan.ahead;
+    let mut prefetch = plan.prefetch;
     for lender in &plan.lenders {
-        let Some(lent) = request_loan(state, team, lender, missing + ahead).await else {
+        let Some(lent) = request_loan(state, team, lender, missing + prefetch).await else {
             continue;
         };
         let for_request = lent.min(missing);
         missing -= for_request;
-        ahead = ahead.saturating_sub(lent - for_request);
+        prefetch = prefetch.saturating_sub(lent - for_request);
         if missing == 0 {
             return;
         }
@@ -135,15 +135,15 @@
         return None;
     };
     state.metrics.count_borrow(reply.millitokens > 0);
-    let answer = LoanAnswer {
+    let response = LoanResponse {
         amount: reply.millitokens,
         is_owner: reply.owner,
-        left: reply.left_millitokens,
-        valid: Duration::from_millis(reply.valid_ms.into()),
-        wait: Duration::from_millis(reply.wait_ms.into()),
+        remaining: reply.left_millitokens,
+        validity: Duration::from_millis(reply.valid_ms.into()),
+        retry_after: Duration::from_millis(reply.wait_ms.into()),
     };
-    lock(&state.ledger).credit(team, lender, answer, requested_at, now);
-    Some(answer.amount)
+    lock(&state.ledger).credit(team, lender, response, requested_at, now);
+    Some(response.amount)
 }
 
 /// Answers another host's request to borrow tokens. Tokens of an unknown team are not lent.
@@ -155,13 +155,13 @@
     let limits = TeamLimits::from_tokens(team.rate, team.burst);
     let loan =
         LoanRequest { team: team.name.clone(), shard: request.shard, amount: request.millitokens };
-    let answer = lock(&state.ledger).lend(&loan, limits, Instant::now());
+    let response = lock(&state.ledger).lend(&loan, limits, Instant::now());
     BorrowReply {
-        millitokens: answer.amount,
-        owner: answer.is_owner,
-        left_millitokens: answer.left,
-        wait_ms: answer.wait.as_millis() as u32,
-        valid_ms: answer.valid.as_millis() as u32,
+        millitokens: response.amount,
+        owner: response.is_owner,
+        left_millitokens: response.remaining,
+        wait_ms: response.retry_after.as_millis() as u32,
+        valid_ms: response.validity.as_millis() as u32,
     }
 }
 
@@ -172,5 +172,5 @@
         let team = in_force.configuration.teams.get(name)?;
         Some((team.name.clone(), TeamLimits::from_tokens(team.rate, team.burst)))
     };
-    lock(&state.ledger).take_handover(handover, limits_of, Instant::now());
+    lock(&state.ledger).accept_handover(handover, limits_of, Instant::now());
 }
--- a/crates/cuminramp-daemon/src/batch/claims.rs
+++ b/crates/cuminramp-daemon/src/batch/claims.rs
@@ -202,7 +202,7 @@
 ) -> Vec<VersionedChunk> {
     let now = Instant::now();
     let takeover_delay = state.settings.batch.takeover_after();
-    let is_gone = |id: &HostId| lock(&state.members).is_gone(id, takeover_delay, now);
+    let is_dead = |id: &HostId| lock(&state.members).is_dead_for(id, takeover_delay, now);
     let held: Vec<u32> = lock(&state.batch.held)
         .iter()
         .filter(|chunk| chunk.job.id == job.id)
@@ -221,7 +221,7 @@
         let is_own =
             row.holder == *state.me.id.address && row.holder_incarnation == state.me.id.incarnation;
         let leased = row.state() == ChunkState::Leased;
-        if is_claimable(&row, is_gone) || (leased && is_own) {
+        if is_claimable(&row, is_dead) || (leased && is_own) {
             free.push(VersionedChunk { row, version: existing.map_or(0, |chunk| chunk.version) });
         }
     }
--- a/crates/cuminramp-daemon/src/batch/windows.rs
+++ b/crates/cuminramp-daemon/src/batch/windows.rs
@@ -157,7 +157,7 @@
         if batch_owner == state.me.id.address {
             return self.note_online(std::slice::from_ref(target), now);
         }
-        let interval = self.policy.yield_time / 2;
+        let interval = self.policy.online_cooldown / 2;
         {
             let mut reported = lock(&self.reported);
             let last = reported.get(&**target).copied();
--- a/crates/cuminramp-daemon/src/daemon.rs
+++ b/crates/cuminramp-daemon/src/daemon.rs
@@ -36,7 +36,7 @@
 const MAX_OPERATOR_CONNECTIONS: usize = 256;
 /// Divisor of the host list's lag, after which other hosts may take over the shards of a silent one: a host
 /// that was paused for longer than the quotient no longer trusts its ownership of shards.
-const PAUSE_LIMIT_DIVISOR: u32 = 4;
+const MAX_PAUSE_DIVISOR: u32 = 4;
 /// Delay for which a leaving host still accepts new callers, since clients cache steering answers that name
 /// it.
 const DRAIN_DELAY: Duration = Duration::from_secs(1);
@@ -242,8 +242,8 @@
         split: StaticSplit::new().into(),
         members: MemberTable::new(me.clone(), member_policy(&settings), now).into(),
         steering: SteeringPlanner {
-            homes: settings.steering.homes,
-            keep: settings.steering.keep(),
+            max_hosts: settings.steering.homes,
+            ttl: settings.steering.keep(),
         },
         targets: TargetTable::new(target_policy(&settings)).into(),
         silence: SilenceBoard::default(),
@@ -272,12 +272,12 @@
     LedgerPolicy {
         shards: quota.shards,
         slices: quota.slices,
-        slice_rate: (quota.slice_rate * TOKEN as f64) as u64,
+        rate_per_slice: (quota.slice_rate * TOKEN as f64) as u64,
         max_slices: quota.max_slices,
-        borrow_valid: quota.borrow_valid(),
+        max_loan_validity: quota.borrow_valid(),
         borrow_attempts: quota.borrow_attempts,
-        pause_limit: settings.platform.list_lag() / PAUSE_LIMIT_DIVISOR,
-        claim_wait: settings.platform.list_lag(),
+        max_pause: settings.platform.list_lag() / MAX_PAUSE_DIVISOR,
+        claim_delay: settings.platform.list_lag(),
         ..LedgerPolicy::default()
     }
 }
@@ -286,10 +286,10 @@
     let peers = &settings.peers;
     MemberPolicy {
         indirect_probes: peers.indirect_probes,
-        suspicion: peers.suspicion(),
+        suspicion_timeout: peers.suspicion(),
         list_lag: settings.platform.list_lag(),
-        updates_per_probe: peers.updates_per_probe,
-        forget_after: peers.forget_after(),
+        max_updates_per_message: peers.updates_per_probe,
+        dead_member_ttl: peers.forget_after(),
     }
 }
 
@@ -306,7 +306,7 @@
 fn window_policy(settings: &DaemonSettings) -> WindowPolicy {
     WindowPolicy {
         share: settings.batch.window_share,
-        yield_time: settings.batch.yield_time(),
+        online_cooldown: settings.batch.yield_time(),
         ..WindowPolicy::default()
     }
 }
--- a/crates/cuminramp-daemon/src/dispatch/online.rs
+++ b/crates/cuminramp-daemon/src/dispatch/online.rs
@@ -60,14 +60,18 @@
     }
 
     /// Returns the properties that the retry policy depends on.
-    pub(crate) fn traits(&self, state: &DaemonState, earlier: Execution) -> RequestTraits {
+    pub(crate) fn traits(
+        &self,
+        state: &DaemonState,
+        earlier_execution: Execution,
+    ) -> RequestTraits {
         let engines = self.pool.kind == PoolKind::Engines;
         RequestTraits {
             is_repeatable: self.route.is_repeatable(),
             is_resumable: engines && !state.settings.targets.resume_header.is_empty(),
             deadline: self.deadline,
             max_attempts: state.settings.retries.attempts,
-            earlier,
+            earlier_execution,
         }
     }
 }
@@ -107,7 +111,7 @@
         log::info!(fingerprint = self.fingerprint, crashes = crashes; "crash");
         let report =
             CrashReport { counts: vec![CrashCount { fingerprint: self.fingerprint, crashes }] };
-        for address in lock(&self.state.members).usable_peers() {
+        for address in lock(&self.state.members).answering_peers() {
             let (state, report) = (self.state.clone(), report.clone());
             self.state.metrics.count_peer_call("report-crash");
             tokio::spawn(async move { state.peers.report_crash(&address, report).await });
@@ -126,12 +130,12 @@
     /// too.
     fn excluded_targets(&self) -> Vec<Name> {
         let crashes = lock(&self.state.crashes);
-        if crashes.crashes(self.fingerprint) > 0 { crashes.suspect_targets() } else { Vec::new() }
+        if crashes.crashes(self.fingerprint) > 0 { crashes.poison_targets() } else { Vec::new() }
     }
 
     /// Records the target that the request is sent to.
     fn record_target(&self, target: &Name) {
-        lock(&self.state.crashes).place(self.fingerprint, target);
+        lock(&self.state.crashes).set_target(self.fingerprint, target);
     }
 
     /// Returns whether another attempt may start after a crash, and if so counts it as running.
@@ -254,7 +258,7 @@
     };
     let refusal = Refusal::not_run(code, message).with_execution(execution);
     match execution {
-        Execution::NotRun => refusal.with_retry_after(lock(&state.budget).pause()),
+        Execution::NotRun => refusal.with_retry_after(lock(&state.budget).retry_after()),
         _ => refusal,
     }
 }
--- a/crates/cuminramp-daemon/src/entry/steering.rs
+++ b/crates/cuminramp-daemon/src/entry/steering.rs
@@ -34,15 +34,15 @@
     let zone = zone.unwrap_or(&state.me.zone);
     let owners = shard_owners(state, &caller.team);
     let usable = lock(&state.members).usable_hosts();
-    let plan = state.steering.plan(&caller.team.name, zone, &usable, &owners);
-    let hosts: Vec<Value> = plan
+    let response = state.steering.plan(&caller.team.name, zone, &usable, &owners);
+    let hosts: Vec<Value> = response
         .hosts
         .iter()
         .map(|host| json!({"address": &*host.caller_address, "availability-zone": &*host.zone}))
         .collect();
-    let addresses: Vec<&str> = plan.hosts.iter().map(|host| &*host.caller_address).collect();
+    let addresses: Vec<&str> = response.hosts.iter().map(|host| &*host.caller_address).collect();
     log::info!(team = &*caller.team.name, zone = zone, hosts = addresses.join(",").as_str(); "steering");
-    json!({"hosts": hosts, "keep-ms": plan.keep.as_millis() as u64})
+    json!({"hosts": hosts, "keep-ms": response.ttl.as_millis() as u64})
 }
 
 /// Returns the owners of the shards of a team's rate, each as one incarnation of a host.
--- a/crates/cuminramp-daemon/src/operator/declarations.rs
+++ b/crates/cuminramp-daemon/src/operator/declarations.rs
@@ -93,7 +93,7 @@
 /// Queries all usable hosts for their generation and returns the results; `null` for a host that does not
 /// answer.
 pub(crate) async fn show_generations(State(state): State<Arc<DaemonState>>) -> Json<Value> {
-    let peers = lock(&state.members).usable_peers();
+    let peers = lock(&state.members).answering_peers();
     let mut pulls = tokio::task::JoinSet::new();
     for address in peers {
         let state = state.clone();
--- a/crates/cuminramp-daemon/src/peer/probing.rs
+++ b/crates/cuminramp-daemon/src/peer/probing.rs
@@ -44,8 +44,8 @@
                 Box::pin(execute(state, action)).await;
             }
         }
-        MemberAction::ProbeThrough { target, helpers } => {
-            probe_through(state, &target, &helpers).await
+        MemberAction::IndirectProbe { target, relays } => {
+            indirect_probe(state, &target, &relays).await
         }
     }
 }
@@ -53,7 +53,7 @@
 fn make_probe(state: &DaemonState, receiver: &str, target: &str) -> Probe {
     let mut members = lock(&state.members);
     let updates = members.take_updates(Some(receiver));
-    let sender = Some(members.my_state());
+    let sender = Some(members.local_state());
     drop(members);
     Probe { sender, updates, digest: Some(version_digest(state)), target: target.to_owned() }
 }
@@ -70,16 +70,16 @@
     true
 }
 
-/// Probes a host through `helpers`, and marks it as suspect if it is alive for none of them.
-async fn probe_through(state: &Arc<DaemonState>, target: &Name, helpers: &[Name]) {
+/// Probes a host through `relays`, and marks it as suspect if it is alive for none of them.
+async fn indirect_probe(state: &Arc<DaemonState>, target: &Name, relays: &[Name]) {
     let timeout = state.settings.peers.probe_timeout() * 3;
     let mut probes = tokio::task::JoinSet::new();
-    for helper in helpers {
-        let (state, helper) = (state.clone(), helper.clone());
-        let probe = make_probe(&state, &helper, target);
+    for relay in relays {
+        let (state, relay) = (state.clone(), relay.clone());
+        let probe = make_probe(&state, &relay, target);
         probes.spawn(async move {
             state.metrics.count_peer_call("probe-through");
-            state.peers.probe(&helper, probe, timeout).await
+            state.peers.probe(&relay, probe, timeout).await
         });
     }
     let mut alive = false;
@@ -105,7 +105,7 @@
     }
     let mut members = lock(&state.members);
     let updates = members.take_updates(Some(&sender.address));
-    let reply_sender = Some(members.my_state());
+    let reply_sender = Some(members.local_state());
     drop(members);
     ProbeReply {
         sender: reply_sender,
@@ -164,7 +164,7 @@
 /// Probes up to `SPREAD_FANOUT` random hosts at once, so that they detect and pull a change made here
 /// without waiting for the next probe interval.
 pub(crate) async fn spread_updates(state: &Arc<DaemonState>) {
-    let mut peers = lock(&state.members).usable_peers();
+    let mut peers = lock(&state.members).answering_peers();
     let mut probes = tokio::task::JoinSet::new();
     while probes.len() < SPREAD_FANOUT && !peers.is_empty() {
         let index = lock(&state.random).below(peers.len());
--- a/crates/cuminramp-daemon/src/sync/configuration.rs
+++ b/crates/cuminramp-daemon/src/sync/configuration.rs
@@ -252,7 +252,7 @@
     let mut ledger = lock(&state.ledger);
     for bytes in &reply.shards {
         if let Ok(row) = decode_row(bytes) {
-            ledger.shards_mut().observe(&row, now);
+            ledger.shards_mut().apply_row(&row, now);
         }
     }
 }
--- a/crates/cuminramp-daemon/src/sync/shards.rs
+++ b/crates/cuminramp-daemon/src/sync/shards.rs
@@ -50,7 +50,7 @@
             renew_incarnation(&state, confirmed, now);
         }
         let mut ledger = lock(&state.ledger);
-        ledger.forget_unused(now);
+        ledger.evict_unused_teams(now);
         let owned = ledger.shards().owned_count();
         drop(ledger);
         let live = lock(&state.members).usable_hosts().len();
@@ -63,7 +63,7 @@
 fn renew_incarnation(state: &DaemonState, confirmed: bool, now: Instant) {
     let mut members = lock(&state.members);
     let incarnation = new_incarnation().max(members.me().id.incarnation + 1);
-    members.renew(incarnation, now);
+    members.set_incarnation(incarnation, now);
     let me = members.me().id.clone();
     drop(members);
     lock(&state.ledger).renew(me, confirmed, now);
@@ -117,7 +117,7 @@
     let now = Instant::now();
     let mut ledger = lock(&state.ledger);
     for shard in &rows {
-        ledger.shards_mut().observe(&shard.row, now);
+        ledger.shards_mut().apply_row(&shard.row, now);
     }
     Ok(rows)
 }
@@ -144,7 +144,8 @@
     let lease = state.settings.quota.lease() * 2;
     let has_leases = state.settings.quota.policy == QuotaPolicy::ExpiringLease;
     let is_free = |owner: &HostId| {
-        members.is_surely_dead(owner, now) || (has_leases && members.is_gone(owner, lease, now))
+        members.is_confirmed_dead(owner, now)
+            || (has_leases && members.is_dead_for(owner, lease, now))
     };
     ledger.shards().plan_claims(hosts, is_free)
 }
--- a/crates/cuminramp-gateway/src/online/serve.rs
+++ b/crates/cuminramp-gateway/src/online/serve.rs
@@ -255,7 +255,11 @@
             is_resumable: self.request.route.is_resumable,
             deadline: self.deadline,
             max_attempts: self.request.route.max_attempts,
-            earlier: if self.runs > 0 { Execution::MayHaveRun } else { Execution::NotRun },
+            earlier_execution: if self.runs > 0 {
+                Execution::MayHaveRun
+            } else {
+                Execution::NotRun
+            },
         };
         let failure = AttemptFailure { stage, is_crash: false };
         let is_not_run = matches!(stage, FailureStage::NotSent | FailureStage::Refused);
--- a/crates/cuminramp-gateway/src/peers/heartbeats.rs
+++ b/crates/cuminramp-gateway/src/peers/heartbeats.rs
@@ -73,7 +73,8 @@
     let quota = lock(&state.quota);
     let (usage, is_settled) = (quota.usage(is_usage_full, now), quota.is_settled(now));
     drop(quota);
-    let crash_counts = lock(&state.crashes).seen_lately(CRASH_COUNT_TTL, MAX_CRASH_COUNTS, now);
+    let crash_counts =
+        lock(&state.crashes).recent_local_crashes(CRASH_COUNT_TTL, MAX_CRASH_COUNTS, now);
     HostHeartbeat {
         host: state.local_host.clone(),
         sequence,
--- a/crates/cuminramp-membership/src/lib.rs
+++ b/crates/cuminramp-membership/src/lib.rs
@@ -13,5 +13,5 @@
 mod table;
 
 pub use member::{Member, MemberStatus};
-pub use steering::{SteeringAnswer, SteeringPlanner};
+pub use steering::{SteeringPlanner, SteeringResponse};
 pub use table::{ListedHost, MemberAction, MemberPolicy, MemberTable};
--- a/crates/cuminramp-membership/src/steering.rs
+++ b/crates/cuminramp-membership/src/steering.rs
@@ -6,20 +6,20 @@
 
 /// Hosts that a caller should use, and for how long.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct SteeringAnswer {
+pub struct SteeringResponse {
     /// Hosts to use, best first.
     pub hosts: Vec<Host>,
     /// Time for which the caller may cache the answer.
-    pub keep: Duration,
+    pub ttl: Duration,
 }
 
 /// Chooses hosts for the callers of a team.
 #[derive(Clone, Debug)]
 pub struct SteeringPlanner {
     /// Maximum number of hosts in an answer.
-    pub homes: usize,
+    pub max_hosts: usize,
     /// Time for which a caller may cache an answer.
-    pub keep: Duration,
+    pub ttl: Duration,
 }
 
 impl SteeringPlanner {
@@ -34,11 +34,11 @@
     /// use std::time::Duration;
     /// use cuminramp_core::{Host, HostId};
     /// use cuminramp_membership::SteeringPlanner;
-    /// let planner = SteeringPlanner { homes: 2, keep: Duration::from_secs(30) };
+    /// let planner = SteeringPlanner { max_hosts: 2, ttl: Duration::from_secs(30) };
     /// let id = HostId { address: "10.0.0.1:1".into(), incarnation: 1 };
     /// let host = Host { id, caller_address: "10.0.0.1:2".into(), zone: "a".into() };
-    /// let answer = planner.plan("team", "a", &[host.clone()], &[]);
-    /// assert_eq!(answer.hosts, [host]);
+    /// let response = planner.plan("team", "a", &[host.clone()], &[]);
+    /// assert_eq!(response.hosts, [host]);
     /// ```
     pub fn plan(
         &self,
@@ -46,12 +46,12 @@
         zone: &str,
         usable: &[Host],
         owners: &[HostId],
-    ) -> SteeringAnswer {
+    ) -> SteeringResponse {
         let mut ranked: Vec<&Host> = usable.iter().collect();
         rank_by_score(team, &mut ranked, |host| &host.id.address);
         ranked.sort_by_key(|host| (!owners.contains(&host.id), *host.zone != *zone));
-        let hosts = ranked.into_iter().take(self.homes).cloned().collect();
-        SteeringAnswer { hosts, keep: self.keep }
+        let hosts = ranked.into_iter().take(self.max_hosts).cloned().collect();
+        SteeringResponse { hosts, ttl: self.ttl }
     }
 }
 
--- a/crates/cuminramp-membership/src/steering/tests.rs
+++ b/crates/cuminramp-membership/src/steering/tests.rs
@@ -13,7 +13,7 @@
 }
 
 fn planner() -> SteeringPlanner {
-    SteeringPlanner { homes: 3, keep: Duration::from_secs(30) }
+    SteeringPlanner { max_hosts: 3, ttl: Duration::from_secs(30) }
 }
 
 // Many hosts are replaced each day. If each replacement moved most teams to other hosts, their caches
@@ -38,8 +38,8 @@
     let all: Vec<Host> = (0..11).map(host).collect();
     let owners = [all[4].id.clone(), all[5].id.clone(), all[6].id.clone()];
 
-    let answer = planner().plan("team", "zone-2", &all, &owners);
+    let response = planner().plan("team", "zone-2", &all, &owners);
 
-    assert_eq!(answer.hosts[0], all[5]);
-    assert!(answer.hosts.iter().all(|host| owners.contains(&host.id)));
+    assert_eq!(response.hosts[0], all[5]);
+    assert!(response.hosts.iter().all(|host| owners.contains(&host.id)));
 }
--- a/crates/cuminramp-membership/src/table.rs
+++ b/crates/cuminramp-membership/src/table.rs
@@ -17,23 +17,23 @@
     /// Number of other hosts that are asked to probe a host after a direct probe failed.
     pub indirect_probes: usize,
     /// Time that a suspect host has to refute the suspicion before it counts as dead.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Maximum lag of the platform's list behind the actual hosts.
     pub list_lag: Duration,
     /// Maximum number of queued updates in one message.
-    pub updates_per_probe: usize,
+    pub max_updates_per_message: usize,
     /// Time after which a host that is dead and no longer listed is removed from the table.
-    pub forget_after: Duration,
+    pub dead_member_ttl: Duration,
 }
 
 impl Default for MemberPolicy {
     fn default() -> Self {
         MemberPolicy {
             indirect_probes: 2,
-            suspicion: Duration::from_secs(3),
+            suspicion_timeout: Duration::from_secs(3),
             list_lag: Duration::from_secs(10),
-            updates_per_probe: 8,
-            forget_after: Duration::from_secs(60),
+            max_updates_per_message: 8,
+            dead_member_ttl: Duration::from_secs(60),
         }
     }
 }
@@ -52,12 +52,12 @@
 pub enum MemberAction {
     /// Probe the host at this address.
     Probe(Name),
-    /// Ask each of `helpers` to probe `target`.
-    ProbeThrough {
+    /// Ask each of `relays` to probe `target`.
+    IndirectProbe {
         /// Address of the host that did not answer.
         target: Name,
         /// Addresses of the hosts to ask.
-        helpers: Vec<Name>,
+        relays: Vec<Name>,
     },
 }
 
@@ -121,7 +121,7 @@
     }
 
     /// Returns the state of this host, to be sent to other hosts.
-    pub fn my_state(&self) -> HostState {
+    pub fn local_state(&self) -> HostState {
         self.local.to_state()
     }
 
@@ -139,7 +139,7 @@
 
     /// Changes this host's incarnation to a later one. Hosts that receive it treat the earlier run as
     /// ended.
-    pub fn renew(&mut self, incarnation: Incarnation, now: Instant) {
+    pub fn set_incarnation(&mut self, incarnation: Incarnation, now: Instant) {
         self.local.host.id.incarnation = incarnation;
         self.local.sequence += 1;
         self.local.since = now;
@@ -171,17 +171,17 @@
         random: &mut dyn RandomSource,
         now: Instant,
     ) -> Vec<MemberAction> {
-        let mut helpers = self.usable_peers();
-        helpers.retain(|helper| &**helper != address);
+        let mut relays = self.answering_peers();
+        relays.retain(|relay| &**relay != address);
         let mut chosen = Vec::new();
-        while chosen.len() < self.policy.indirect_probes && !helpers.is_empty() {
-            chosen.push(helpers.swap_remove(random.below(helpers.len())));
+        while chosen.len() < self.policy.indirect_probes && !relays.is_empty() {
+            chosen.push(relays.swap_remove(random.below(relays.len())));
         }
         if chosen.is_empty() {
             self.mark_suspect(address, now);
             return Vec::new();
         }
-        vec![MemberAction::ProbeThrough { target: address.into(), helpers: chosen }]
+        vec![MemberAction::IndirectProbe { target: address.into(), relays: chosen }]
     }
 
     /// Records that indirect probes failed too. Returns whether this makes the host suspect.
@@ -243,7 +243,7 @@
         {
             states.push(member.to_state());
         }
-        for update in self.updates.iter_mut().take(self.policy.updates_per_probe) {
+        for update in self.updates.iter_mut().take(self.policy.max_updates_per_message) {
             update.remaining -= 1;
             if let Some(member) = self.members.get(&*update.address) {
                 states.push(member.to_state());
@@ -268,7 +268,7 @@
     }
 
     /// Returns the addresses of the other hosts that answer, including leaving ones.
-    pub fn usable_peers(&self) -> Vec<Name> {
+    pub fn answering_peers(&self) -> Vec<Name> {
         let answering = self.members.iter().filter(|(_, member)| {
             matches!(member.status, MemberStatus::Alive | MemberStatus::Leaving)
         });
@@ -282,7 +282,7 @@
     /// overlap, a host that takes over a shard and a host that keeps using it always have a host in
     /// common that both can reach.
     pub fn has_majority(&self) -> bool {
-        let answering = self.usable_peers().len() + 1;
+        let answering = self.answering_peers().len() + 1;
         let known = self.members.len() + self.unidentified_addresses().count() + 1;
         answering * 2 > known
     }
@@ -294,7 +294,7 @@
     ///
     /// In all other cases the result is `false`. A paused or cut-off run may resume and keep spending
     /// the tokens that another host has taken over; the team would then exceed its rate.
-    pub fn is_surely_dead(&self, id: &HostId, now: Instant) -> bool {
+    pub fn is_confirmed_dead(&self, id: &HostId, now: Instant) -> bool {
         if *id == self.local.host.id {
             return false;
         }
@@ -324,7 +324,7 @@
     /// it ended. A run that is not in the table counts as dead once this host has been running for longer
     /// than `timeout` plus the list's lag. The result is enough to take over fenced work, but not to spend
     /// the run's tokens.
-    pub fn is_gone(&self, id: &HostId, timeout: Duration, now: Instant) -> bool {
+    pub fn is_dead_for(&self, id: &HostId, timeout: Duration, now: Instant) -> bool {
         if id.address == self.local.host.id.address {
             return id.incarnation != self.local.host.id.incarnation;
         }
@@ -398,7 +398,7 @@
 
     /// Changes suspect hosts to dead when the suspicion timeout has passed.
     fn declare_suspects_dead(&mut self, now: Instant) {
-        let limit = self.policy.suspicion;
+        let limit = self.policy.suspicion_timeout;
         let mut dead = Vec::new();
         for (address, member) in self.members.iter_mut() {
             let waited = now.saturating_duration_since(member.since) >= limit;
@@ -413,9 +413,9 @@
         }
     }
 
-    /// Removes hosts that have been dead and unlisted for longer than `forget_after`.
+    /// Removes hosts that have been dead and unlisted for longer than `dead_member_ttl`.
     fn remove_dead_members(&mut self, now: Instant) {
-        let limit = self.policy.forget_after;
+        let limit = self.policy.dead_member_ttl;
         let long_ago = |at: Instant| now.saturating_duration_since(at) > limit;
         self.members.retain(|_, member| {
             let dead = member.status == MemberStatus::Dead && long_ago(member.since);
--- a/crates/cuminramp-membership/src/table/tests.rs
+++ b/crates/cuminramp-membership/src/table/tests.rs
@@ -28,7 +28,7 @@
 /// Creates tables of `count` hosts, each of which contains all the others.
 fn connected_tables(count: u32, now: Instant) -> Vec<MemberTable> {
     let mut tables: Vec<MemberTable> = (0..count).map(|number| table(number, now)).collect();
-    let states: Vec<_> = tables.iter().map(MemberTable::my_state).collect();
+    let states: Vec<_> = tables.iter().map(MemberTable::local_state).collect();
     for table in &mut tables {
         table.on_list(&listed(0..count), now);
         for state in &states {
@@ -55,15 +55,15 @@
                 continue;
             }
             for action in tables[from].on_probe_failed(&address, random, now) {
-                let MemberAction::ProbeThrough { helpers, .. } = action else {
+                let MemberAction::IndirectProbe { relays, .. } = action else {
                     continue;
                 };
-                let helped = helpers.iter().any(|helper| {
-                    let helper = index_of(tables, helper);
-                    exchange(tables, from, helper, reaches, now)
-                        && exchange(tables, helper, to, reaches, now)
+                let relayed = relays.iter().any(|relay| {
+                    let relay = index_of(tables, relay);
+                    exchange(tables, from, relay, reaches, now)
+                        && exchange(tables, relay, to, reaches, now)
                 });
-                if !helped {
+                if !relayed {
                     tables[from].on_unreachable(&address, now);
                 }
             }
@@ -99,7 +99,7 @@
 /// Delivers one message with the sender's state and updates. `about` is the receiver's address if the
 /// message includes the state that the sender records for it.
 fn deliver(tables: &mut [MemberTable], from: usize, to: usize, about: Option<&str>, now: Instant) {
-    let state = tables[from].my_state();
+    let state = tables[from].local_state();
     let updates = tables[from].take_updates(about);
     for update in &updates {
         tables[to].on_update(update, now);
@@ -170,10 +170,10 @@
     table.tick(&mut SeededRandom::new(4), start + 4 * SECOND);
     let late = start + 60 * SECOND;
 
-    let while_listed = table.is_surely_dead(&id, late);
+    let while_listed = table.is_confirmed_dead(&id, late);
     table.on_list(&listed([0, 2].into_iter()), late);
-    let at_once = table.is_surely_dead(&id, late);
-    let after_lag = table.is_surely_dead(&id, late + 11 * SECOND);
+    let at_once = table.is_confirmed_dead(&id, late);
+    let after_lag = table.is_confirmed_dead(&id, late + 11 * SECOND);
 
     assert_eq!((while_listed, at_once, after_lag), (false, false, true));
 }
@@ -184,10 +184,10 @@
     let mut table = connected_tables(3, start).remove(0);
     let restarted = MemberTable::new(host(1, 2), MemberPolicy::default(), start);
 
-    table.on_message(&restarted.my_state(), start);
+    table.on_message(&restarted.local_state(), start);
 
-    assert!(table.is_surely_dead(&host(1, 1).id, start));
-    assert!(!table.is_surely_dead(&host(1, 2).id, start));
+    assert!(table.is_confirmed_dead(&host(1, 1).id, start));
+    assert!(!table.is_confirmed_dead(&host(1, 2).id, start));
 }
 
 // An availability zone is cut off. If each side declared the other dead and took over its shards, every
@@ -213,11 +213,11 @@
     let mut tables = connected_tables(3, start);
     tables[0].leave(start);
 
-    let state = tables[0].my_state();
+    let state = tables[0].local_state();
     tables[1].on_message(&state, start);
 
     assert_eq!(tables[1].usable_hosts().len(), 2);
-    assert_eq!(tables[1].usable_peers().len(), 2);
+    assert_eq!(tables[1].answering_peers().len(), 2);
 }
 
 // The platform is about to remove a host without notifying it. Callers steered to it would lose their
@@ -234,5 +234,5 @@
     }
 
     assert!(tables.iter().all(|table| table.usable_hosts().len() == 2));
-    assert!(tables[..2].iter().all(|table| table.usable_peers().len() == 2));
+    assert!(tables[..2].iter().all(|table| table.answering_peers().len() == 2));
 }
--- a/crates/cuminramp-quota/src/handover.rs
+++ b/crates/cuminramp-quota/src/handover.rs
@@ -23,7 +23,7 @@
     pub fn collect_handover(&mut self, shard_move: &ShardMove, now: Instant) -> Option<Handover> {
         let record = self.shards.record(shard_move.shard);
         let loans_ended =
-            record.observed_at.is_some_and(|at| at + self.policy().borrow_valid <= now);
+            record.observed_at.is_some_and(|at| at + self.policy().max_loan_validity <= now);
         if record.epoch > 1 && record.handover.is_none() && !loans_ended {
             return None;
         }
@@ -58,14 +58,14 @@
     /// own changes nothing.
     ///
     /// `limits_of` returns a team's limits, `None` for a team that is no longer declared.
-    pub fn take_handover(
+    pub fn accept_handover(
         &mut self,
         handover: &Handover,
         limits_of: impl Fn(&str) -> Option<(Name, TeamLimits)>,
         now: Instant,
     ) -> bool {
         let Ok(row) = decode_row::<ShardRow>(&handover.row) else { return false };
-        self.shards.observe(&row, now);
+        self.shards.apply_row(&row, now);
         let filling = Duration::from_millis(handover.owned_ms);
         let filling_since = now.checked_sub(filling).unwrap_or(now);
         let state = HandoverState { filling_since, is_full: handover.first_owner };
@@ -114,7 +114,7 @@
         }
         let accrued = slice.bucket.level(now);
         slice.bucket.take(accrued, now);
-        slice.bucket.add_handover(received.level, received.on_loan, policy.borrow_valid, now);
+        slice.bucket.add_handover(received.level, received.on_loan, policy.max_loan_validity, now);
     }
 }
 
--- a/crates/cuminramp-quota/src/handover/tests.rs
+++ b/crates/cuminramp-quota/src/handover/tests.rs
@@ -14,7 +14,7 @@
 }
 
 fn policy() -> LedgerPolicy {
-    LedgerPolicy { shards: 8, slices: 1, slice_rate: 1_000 * TOKEN, ..LedgerPolicy::default() }
+    LedgerPolicy { shards: 8, slices: 1, rate_per_slice: 1_000 * TOKEN, ..LedgerPolicy::default() }
 }
 
 fn shard() -> u32 {
@@ -22,7 +22,7 @@
 }
 
 fn apply_move(ledger: &mut QuotaLedger, change: &ShardMove, now: Instant) {
-    ledger.shards_mut().observe(&change.to_row(), now);
+    ledger.shards_mut().apply_row(&change.to_row(), now);
 }
 
 /// Returns two ledgers, the first of which owns the team's only shard.
@@ -59,7 +59,7 @@
     let before = admitted(&mut previous, 5, now);
 
     let handover = previous.collect_handover(&next_owner(), now).unwrap();
-    let taken = next.take_handover(&handover, limits_of, now);
+    let taken = next.accept_handover(&handover, limits_of, now);
     let after = admitted(&mut next, 20, now);
 
     assert!(taken);
@@ -74,9 +74,9 @@
     let (mut previous, mut next) = ledgers(now);
     let handover = previous.collect_handover(&next_owner(), now).unwrap();
 
-    let taken = next.take_handover(&handover, limits_of, now);
+    let taken = next.accept_handover(&handover, limits_of, now);
     let first = admitted(&mut next, 20, now);
-    let again = next.take_handover(&handover, limits_of, now);
+    let again = next.accept_handover(&handover, limits_of, now);
     let second = admitted(&mut next, 20, now);
 
     assert_eq!((taken, first, again, second), (true, 12, false, 0));
@@ -91,8 +91,8 @@
     let lent = previous.lend(&loan, LIMITS, now);
 
     apply_move(&mut next, &next_owner(), now);
-    let while_lent = admitted(&mut next, 20, now + lent.valid);
-    let after = admitted(&mut next, 20, now + lent.valid + Duration::from_millis(500));
+    let while_lent = admitted(&mut next, 20, now + lent.validity);
+    let after = admitted(&mut next, 20, now + lent.validity + Duration::from_millis(500));
 
     assert_eq!(lent.amount, 12 * TOKEN);
     assert_eq!((while_lent, after), (0, 5));
@@ -127,7 +127,7 @@
     let later = now + Duration::from_secs(1);
 
     let spent = admitted(&mut next, 2, later);
-    next.take_handover(&handover, limits_of, later);
+    next.accept_handover(&handover, limits_of, later);
     let more = admitted(&mut next, 20, later);
 
     assert_eq!(spent, 2);
@@ -144,7 +144,7 @@
     previous.lend(&loan, LIMITS, now);
 
     let handover = previous.collect_handover(&next_owner(), now).unwrap();
-    next.take_handover(&handover, limits_of, now);
+    next.accept_handover(&handover, limits_of, now);
     let soon = admitted(&mut next, 20, now + Duration::from_millis(200));
 
     assert_eq!(soon, 2);
--- a/crates/cuminramp-quota/src/ledger.rs
+++ b/crates/cuminramp-quota/src/ledger.rs
@@ -25,11 +25,11 @@
     /// Number of slices of a team with a low rate.
     pub slices: u32,
     /// Rate in millitokens per second for which a team gets one more slice.
-    pub slice_rate: Millitokens,
+    pub rate_per_slice: Millitokens,
     /// Maximum number of slices of a team.
     pub max_slices: u32,
     /// Maximum time for which lent tokens may be spent.
-    pub borrow_valid: Duration,
+    pub max_loan_validity: Duration,
     /// Time span whose expected demand a host borrows in advance.
     pub prefetch_window: Duration,
     /// Maximum number of owners asked for the tokens of one request.
@@ -38,10 +38,10 @@
     pub max_generation_lag: Duration,
     /// Maximum time for which this host may not have run, or not have received anything from
     /// others, before it stops relying on its ownership of shards.
-    pub pause_limit: Duration,
+    pub max_pause: Duration,
     /// Minimum time for which an incarnation must have been silent before other hosts claim its
     /// shards.
-    pub claim_wait: Duration,
+    pub claim_delay: Duration,
     /// Time without use after which a team's buckets are dropped.
     pub unused_team_ttl: Duration,
 }
@@ -51,14 +51,14 @@
         LedgerPolicy {
             shards: 128,
             slices: 3,
-            slice_rate: 10 * TOKEN,
+            rate_per_slice: 10 * TOKEN,
             max_slices: 32,
-            borrow_valid: Duration::from_secs(1),
+            max_loan_validity: Duration::from_secs(1),
             prefetch_window: Duration::from_millis(100),
             borrow_attempts: 5,
             max_generation_lag: Duration::from_secs(7),
-            pause_limit: Duration::from_secs(2),
-            claim_wait: Duration::from_secs(10),
+            max_pause: Duration::from_secs(2),
+            claim_delay: Duration::from_secs(10),
             unused_team_ttl: Duration::from_secs(600),
         }
     }
@@ -81,7 +81,7 @@
     /// Millitokens that the request lacks.
     pub missing: Millitokens,
     /// Millitokens to borrow in addition, for the requests that follow.
-    pub ahead: Millitokens,
+    pub prefetch: Millitokens,
 }
 
 /// Decision on a request.
@@ -109,18 +109,18 @@
 
 /// The response to a [`LoanRequest`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct LoanAnswer {
+pub struct LoanResponse {
     /// Millitokens lent, which the owner has already debited.
     pub amount: Millitokens,
     /// Whether the incarnation that responds owns the shard.
     pub is_owner: bool,
     /// Millitokens that the owner has left.
-    pub left: Millitokens,
+    pub remaining: Millitokens,
     /// Time for which the lent tokens may be spent, counted from when the borrower sent its
     /// request.
-    pub valid: Duration,
+    pub validity: Duration,
     /// Time until the owner has a token to lend again.
-    pub wait: Duration,
+    pub retry_after: Duration,
 }
 
 /// Quota state of all teams on this host.
@@ -190,18 +190,18 @@
     ///
     /// A gap between calls shows that the process was paused: other hosts may have declared it dead
     /// and claimed its shards, as they may while it has no contact. Reading the map would not
-    /// settle that, since a claim may still be on its way to the table. So after `claim_wait` the
+    /// settle that, since a claim may still be on its way to the table. So after `claim_delay` the
     /// incarnation counts as ended.
     pub fn tick(&mut self, confirmed: bool, now: Instant) -> TickOutcome {
         let last = self.ticked_at;
         self.ticked_at = now;
-        let paused = now.saturating_duration_since(last) > self.policy.pause_limit;
+        let paused = now.saturating_duration_since(last) > self.policy.max_pause;
         if paused || !confirmed {
-            let reliable_at = last.checked_sub(self.policy.pause_limit).unwrap_or(last);
+            let reliable_at = last.checked_sub(self.policy.max_pause).unwrap_or(last);
             self.unreliable_since.get_or_insert(reliable_at);
         }
         let Some(since) = self.unreliable_since else { return TickOutcome::Reliable };
-        if now.saturating_duration_since(since) > self.policy.claim_wait {
+        if now.saturating_duration_since(since) > self.policy.claim_delay {
             return TickOutcome::Lost;
         }
         if paused || !confirmed {
@@ -238,7 +238,7 @@
     }
 
     /// Drops teams that have been unused for `unused_team_ttl`. Their buckets would be full by now.
-    pub fn forget_unused(&mut self, now: Instant) {
+    pub fn evict_unused_teams(&mut self, now: Instant) {
         let limit = self.policy.unused_team_ttl;
         self.teams.retain(|_, team| now.saturating_duration_since(team.last_used_at) < limit);
     }
@@ -264,8 +264,8 @@
         }
         let taken = quota.take(cost, use_own, now);
         if taken.total() == cost {
-            let ahead = quota.plan_prefetch(team, &self.shards, &self.policy, use_own, now);
-            return Admission::Admitted(ahead);
+            let prefetch = quota.plan_prefetch(team, &self.shards, &self.policy, use_own, now);
+            return Admission::Admitted(prefetch);
         }
         let missing = cost - taken.total();
         quota.put_back(taken, now);
@@ -280,12 +280,22 @@
 
     /// Lends tokens of a shard that this incarnation owns. They are debited before the response is
     /// sent, so a lost response loses tokens but never duplicates them.
-    pub fn lend(&mut self, request: &LoanRequest, limits: TeamLimits, now: Instant) -> LoanAnswer {
+    pub fn lend(
+        &mut self,
+        request: &LoanRequest,
+        limits: TeamLimits,
+        now: Instant,
+    ) -> LoanResponse {
         self.prepare(&request.team, limits, now);
         let use_own = self.may_spend_own(now);
-        let valid = loan_validity(limits, &self.policy);
-        let refusal =
-            LoanAnswer { amount: 0, is_owner: false, left: 0, valid, wait: MIN_RETRY_AFTER };
+        let validity = loan_validity(limits, &self.policy);
+        let refusal = LoanResponse {
+            amount: 0,
+            is_owner: false,
+            remaining: 0,
+            validity,
+            retry_after: MIN_RETRY_AFTER,
+        };
         if !use_own || !self.shards.is_mine(request.shard) {
             return refusal;
         }
@@ -296,16 +306,16 @@
         let Some(slice) = quota.buckets.get_mut(&slice) else {
             return refusal;
         };
-        let amount = slice.bucket.lend(request.amount, valid, now);
+        let amount = slice.bucket.lend(request.amount, validity, now);
         slice.used |= amount > 0;
         let wait = slice.bucket.time_until(request.amount.min(TOKEN), now);
-        let left = slice.bucket.level(now);
-        LoanAnswer {
+        let remaining = slice.bucket.level(now);
+        LoanResponse {
             amount,
             is_owner: true,
-            left,
-            valid,
-            wait: wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
+            remaining,
+            validity,
+            retry_after: wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
         }
     }
 
@@ -316,7 +326,7 @@
         &mut self,
         team: &Name,
         lender: &Lender,
-        response: LoanAnswer,
+        response: LoanResponse,
         requested_at: Instant,
         now: Instant,
     ) {
@@ -329,14 +339,14 @@
     /// Records that an owner did not respond, so that it isn't asked again at once.
     pub fn mark_silent(&mut self, team: &Name, lender: &Lender, now: Instant) {
         if let Some(quota) = self.teams.get_mut(team) {
-            quota.record_exhausted(lender.shard, now + self.policy.borrow_valid);
+            quota.record_exhausted(lender.shard, now + self.policy.max_loan_validity);
         }
     }
 
     /// Returns whether this host may spend its own tokens: it can rely on its ownership of shards
     /// and hasn't been paused since the last tick.
     pub(crate) fn may_spend_own(&self, now: Instant) -> bool {
-        let paused = now.saturating_duration_since(self.ticked_at) > self.policy.pause_limit;
+        let paused = now.saturating_duration_since(self.ticked_at) > self.policy.max_pause;
         self.unreliable_since.is_none() && !paused
     }
 
@@ -365,7 +375,7 @@
 fn loan_validity(limits: TeamLimits, policy: &LedgerPolicy) -> Duration {
     let millis = limits.burst * 1_000 / (limits.rate.max(1) * LOAN_BURST_DIVISOR);
     Duration::from_millis(millis)
-        .clamp(MIN_LOAN_VALIDITY, policy.borrow_valid.max(MIN_LOAN_VALIDITY))
+        .clamp(MIN_LOAN_VALIDITY, policy.max_loan_validity.max(MIN_LOAN_VALIDITY))
 }
 
 /// Returns the index of the slice of a team that a shard holds.
--- a/crates/cuminramp-quota/src/ledger/tests.rs
+++ b/crates/cuminramp-quota/src/ledger/tests.rs
@@ -25,7 +25,7 @@
     for (number, shard) in slice_shards("team", 3, 8).enumerate() {
         let row = ShardMove { shard, from_epoch: 0, owner: host(number as u64) }.to_row();
         for ledger in &mut ledgers {
-            ledger.shards_mut().observe(&row, now);
+            ledger.shards_mut().apply_row(&row, now);
         }
     }
     ledgers
@@ -33,7 +33,7 @@
 
 /// Asks the lenders of a plan in order, as the daemon does.
 fn borrow(ledgers: &mut [QuotaLedger], plan: &BorrowPlan, now: Instant) {
-    let mut missing = plan.missing + plan.ahead;
+    let mut missing = plan.missing + plan.prefetch;
     for lender in &plan.lenders {
         let index = ledgers.iter().position(|ledger| *ledger.shards.me() == lender.owner).unwrap();
         let loan = LoanRequest { team: team(), shard: lender.shard, amount: missing };
--- a/crates/cuminramp-quota/src/lib.rs
+++ b/crates/cuminramp-quota/src/lib.rs
@@ -25,7 +25,8 @@
 pub use baseline::StaticSplit;
 pub use bucket::TokenBucket;
 pub use ledger::{
-    Admission, BorrowPlan, LedgerPolicy, Lender, LoanAnswer, LoanRequest, QuotaLedger, TickOutcome,
+    Admission, BorrowPlan, LedgerPolicy, Lender, LoanRequest, LoanResponse, QuotaLedger,
+    TickOutcome,
 };
 pub use limits::{TeamLimits, slice_count, slice_shards};
 pub use shards::{HandoverState, ShardMap, ShardMove, ShardRecord};
--- a/crates/cuminramp-quota/src/limits.rs
+++ b/crates/cuminramp-quota/src/limits.rs
@@ -35,7 +35,7 @@
 /// capped so that a slice can hold at least one token; otherwise no host could admit a request
 /// without borrowing.
 pub fn slice_count(limits: TeamLimits, policy: &LedgerPolicy) -> u32 {
-    let by_rate = limits.rate / policy.slice_rate.max(1);
+    let by_rate = limits.rate / policy.rate_per_slice.max(1);
     let desired = u64::from(policy.slices) + by_rate;
     let by_burst = (limits.burst / TOKEN).max(1);
     let max = u64::from(policy.max_slices.min(policy.shards)).max(1);
--- a/crates/cuminramp-quota/src/shards.rs
+++ b/crates/cuminramp-quota/src/shards.rs
@@ -117,7 +117,7 @@
     ///
     /// Other rows are late and are ignored. Even if the table still names this incarnation as the
     /// owner of a released shard, the write that moves the shard may still take effect.
-    pub fn observe(&mut self, row: &ShardRow, now: Instant) -> bool {
+    pub fn apply_row(&mut self, row: &ShardRow, now: Instant) -> bool {
         let Some(record) = self.records.get_mut(row.shard as usize) else {
             return false;
         };
@@ -178,18 +178,18 @@
     /// far as this map shows, not moved. Claiming the latter again, under the next epoch, makes
     /// the pending write that would move them fail.
     ///
-    /// `hosts` are the live hosts that are not leaving, including this one. `is_surely_dead` must
+    /// `hosts` are the live hosts that are not leaving, including this one. `is_confirmed_dead` must
     /// return `false` in case of any doubt: a mere suspicion must never change ownership, since a
     /// live owner would go on spending.
     pub fn plan_claims(
         &self,
         hosts: &[Host],
-        is_surely_dead: impl Fn(&HostId) -> bool,
+        is_confirmed_dead: impl Fn(&HostId) -> bool,
     ) -> Vec<ShardMove> {
         let zones = zones_of(hosts);
         let unowned = self.enumerate_records().filter(|(_, record)| match &record.owner {
             None => true,
-            Some(owner) => *owner != self.me && is_surely_dead(owner),
+            Some(owner) => *owner != self.me && is_confirmed_dead(owner),
         });
         let desired = unowned.filter(|(shard, _)| {
             desired_owner(*shard, hosts, &zones).is_some_and(|host| host.id == self.me)
--- a/crates/cuminramp-quota/src/shards/tests.rs
+++ b/crates/cuminramp-quota/src/shards/tests.rs
@@ -25,7 +25,7 @@
         let moves = maps[index].plan_claims(hosts, |owner| dead.contains(owner));
         for change in moves {
             for map in maps.iter_mut() {
-                map.observe(&change.to_row(), now);
+                map.apply_row(&change.to_row(), now);
             }
         }
     }
@@ -116,10 +116,10 @@
     let unchanged = ShardMove { owner: hosts[0].id.clone(), ..released.clone() };
     let row = ShardRow { epoch: released.from_epoch, ..unchanged.to_row() };
 
-    map.observe(&row, now);
+    map.apply_row(&row, now);
     let owned_after_reading = map.is_mine(released.shard);
     let claims = map.plan_claims(&hosts, |_| false);
-    map.observe(&unchanged.to_row(), now);
+    map.apply_row(&unchanged.to_row(), now);
 
     assert!(!owned_after_reading);
     assert!(claims.contains(&unchanged));
@@ -134,10 +134,10 @@
     let mut map = claimed_maps(&hosts).remove(0);
     let now = Instant::now();
     let newer = ShardRow { shard: 1, owner: "10.0.0.9:1".into(), owner_incarnation: 4, epoch: 9 };
-    map.observe(&newer, now);
+    map.apply_row(&newer, now);
 
     let late = ShardRow { epoch: 8, owner: hosts[0].id.address.to_string(), ..newer };
-    let is_newer = map.observe(&late, now);
+    let is_newer = map.apply_row(&late, now);
 
     assert!(!is_newer);
     assert!(!map.is_mine(1));
--- a/crates/cuminramp-quota/src/team.rs
+++ b/crates/cuminramp-quota/src/team.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use crate::ledger::{
-    BorrowPlan, LedgerPolicy, Lender, LoanAnswer, MAX_RETRY_AFTER, MIN_LOAN_VALIDITY,
+    BorrowPlan, LedgerPolicy, Lender, LoanResponse, MAX_RETRY_AFTER, MIN_LOAN_VALIDITY,
     MIN_RETRY_AFTER,
 };
 use crate::limits::{EffectiveLimits, SliceLimits};
@@ -131,16 +131,16 @@
     pub(crate) fn record_response(
         &mut self,
         shard: u32,
-        response: LoanAnswer,
+        response: LoanResponse,
         requested_at: Instant,
         now: Instant,
     ) {
-        self.lender_levels.insert(shard, LenderLevel { level: response.left, at: now });
-        let expires_at = requested_at + response.valid;
+        self.lender_levels.insert(shard, LenderLevel { level: response.remaining, at: now });
+        let expires_at = requested_at + response.validity;
         if response.amount > 0 && expires_at > now {
             self.caches.push(TokenCache { expires_at, amount: response.amount });
         } else {
-            self.record_exhausted(shard, now + response.wait);
+            self.record_exhausted(shard, now + response.retry_after);
         }
     }
 
@@ -256,8 +256,8 @@
     /// Returns how much to borrow beyond the current request. 0 if that is less than one token: the
     /// next request is then far off, and tokens that are not spent in time are lost.
     fn prefetch_amount(&self, policy: &LedgerPolicy) -> Millitokens {
-        let ahead = (self.demand * policy.prefetch_window.as_secs_f64()) as Millitokens;
-        if ahead < TOKEN { 0 } else { ahead }
+        let prefetch = (self.demand * policy.prefetch_window.as_secs_f64()) as Millitokens;
+        if prefetch < TOKEN { 0 } else { prefetch }
     }
 
     /// Plans to borrow `missing` for a request and more for those that follow. `None` if no owner
@@ -271,8 +271,8 @@
         now: Instant,
     ) -> Option<BorrowPlan> {
         let lenders = self.lenders(team, shards, policy, now);
-        let ahead = self.prefetch_amount(policy);
-        (!lenders.is_empty()).then_some(BorrowPlan { lenders, missing, ahead })
+        let prefetch = self.prefetch_amount(policy);
+        (!lenders.is_empty()).then_some(BorrowPlan { lenders, missing, prefetch })
     }
 
     /// Plans to borrow before the tokens here run out, so that requests don't have to wait for a
@@ -285,8 +285,8 @@
         use_own: bool,
         now: Instant,
     ) -> Option<BorrowPlan> {
-        let ahead = self.prefetch_amount(policy);
-        if ahead < TOKEN || self.next_prefetch_at > now || self.level(use_own, now) > ahead {
+        let prefetch = self.prefetch_amount(policy);
+        if prefetch < TOKEN || self.next_prefetch_at > now || self.level(use_own, now) > prefetch {
             return None;
         }
         let lenders = self.lenders(team, shards, policy, now);
@@ -295,6 +295,6 @@
         // tokens borrows all the same: it would otherwise be refused while the tokens are on their
         // way.
         self.next_prefetch_at = now + MIN_LOAN_VALIDITY;
-        Some(BorrowPlan { lenders: vec![first], missing: 0, ahead })
+        Some(BorrowPlan { lenders: vec![first], missing: 0, prefetch })
     }
 }
--- a/crates/cuminramp-targets/src/choice.rs
+++ b/crates/cuminramp-targets/src/choice.rs
@@ -53,7 +53,7 @@
     /// Number of requests that it runs concurrently.
     pub slots: u32,
     /// Whether it is being removed and gets no new work.
-    pub leaving: bool,
+    pub is_draining: bool,
 }
 
 /// The load that a target reported.
@@ -343,7 +343,7 @@
 
     /// Whether any target can run requests at all, that is, is not leaving.
     pub fn has_targets(&self, specs: &[TargetSpec]) -> bool {
-        specs.iter().any(|spec| !spec.leaving)
+        specs.iter().any(|spec| !spec.is_draining)
     }
 
     fn record_of(&self, spec: &TargetSpec) -> Option<&TargetRecord> {
@@ -361,7 +361,7 @@
     /// of ejected targets), and not tried before, unless all others were tried too.
     fn eligible(&self, specs: &[TargetSpec], tried: &[Name], now: Instant) -> Vec<usize> {
         let not_leaving: Vec<usize> =
-            (0..specs.len()).filter(|index| !specs[*index].leaving).collect();
+            (0..specs.len()).filter(|index| !specs[*index].is_draining).collect();
         let mut ejected: Vec<(Instant, usize)> = not_leaving
             .iter()
             .filter_map(|index| {
--- a/crates/cuminramp-targets/src/choice/tests.rs
+++ b/crates/cuminramp-targets/src/choice/tests.rs
@@ -8,7 +8,8 @@
 const QUERY: ChoiceQuery<'static> = ChoiceQuery { prefix: None, tried: &[] };
 
 fn specs(count: usize) -> Vec<TargetSpec> {
-    let spec = |index| TargetSpec { name: format!("e{index}").into(), slots: 4, leaving: false };
+    let spec =
+        |index| TargetSpec { name: format!("e{index}").into(), slots: 4, is_draining: false };
     (0..count).map(spec).collect()
 }
 
@@ -70,7 +71,7 @@
 fn a_leaving_target_gets_no_requests() {
     let now = Instant::now();
     let mut specs = specs(3);
-    specs[1].leaving = true;
+    specs[1].is_draining = true;
     let table = table(&specs, now);
 
     assert_eq!(counts(&table, &specs, now)[1], 0);
--- a/crates/cuminramp-targets/src/crashes.rs
+++ b/crates/cuminramp-targets/src/crashes.rs
@@ -107,7 +107,7 @@
     }
 
     /// Records the target of an attempt that [`begin`](Self::begin) allowed.
-    pub fn place(&mut self, fingerprint: u64, target: &Name) {
+    pub fn set_target(&mut self, fingerprint: u64, target: &Name) {
         if let Some(record) = self.records.get_mut(&fingerprint)
             && record.running > 0
         {
@@ -117,7 +117,7 @@
 
     /// Returns the targets on which requests with recorded crashes run. Another request with a crash must
     /// avoid them: if the target crashed, the harmless one of the two would be counted again too.
-    pub fn suspect_targets(&self) -> Vec<Name> {
+    pub fn poison_targets(&self) -> Vec<Name> {
         let running = self.records.values().filter(|record| record.running > 0);
         running.filter_map(|record| record.target.clone()).collect()
     }
@@ -145,7 +145,7 @@
     /// counts, to be reported to other hosts. Crashes that only others saw are left out; otherwise hosts
     /// would report them to each other for ever. Returns at most `max_records`, the highest counts
     /// first.
-    pub fn seen_lately(
+    pub fn recent_local_crashes(
         &self,
         within: Duration,
         max_records: usize,
--- a/crates/cuminramp-targets/src/crashes/tests.rs
+++ b/crates/cuminramp-targets/src/crashes/tests.rs
@@ -50,16 +50,18 @@
     here.on_crash(7, Instant::now());
     here.on_crash(7, Instant::now());
 
-    for (fingerprint, crashes) in here.seen_lately(Duration::from_secs(2), 64, Instant::now()) {
+    for (fingerprint, crashes) in
+        here.recent_local_crashes(Duration::from_secs(2), 64, Instant::now())
+    {
         there.merge(fingerprint, crashes, Instant::now());
     }
-    let reported_again = there.seen_lately(Duration::from_secs(2), 64, Instant::now());
+    let reported_again = there.recent_local_crashes(Duration::from_secs(2), 64, Instant::now());
     there.on_crash(7, Instant::now());
 
     assert!(reported_again.is_empty());
     assert!(there.quarantine_left(7, Instant::now()).is_some());
     advance(Duration::from_secs(3)).await;
-    assert!(here.seen_lately(Duration::from_secs(2), 64, Instant::now()).is_empty());
+    assert!(here.recent_local_crashes(Duration::from_secs(2), 64, Instant::now()).is_empty());
 }
 
 /// A third of the targets crashes while running hundreds of requests. All their fingerprints in one
@@ -72,7 +74,7 @@
     });
     table.on_crash(321, Instant::now());
 
-    let reported = table.seen_lately(Duration::from_secs(2), 64, Instant::now());
+    let reported = table.recent_local_crashes(Duration::from_secs(2), 64, Instant::now());
 
     assert_eq!((reported.len(), reported[0]), (64, (321, 2)));
 }
--- a/crates/cuminramp-targets/src/packing.rs
+++ b/crates/cuminramp-targets/src/packing.rs
@@ -54,7 +54,8 @@
         in_flight: f64,
         now: Instant,
     ) -> Vec<TargetSpec> {
-        let mut available: Vec<&TargetSpec> = specs.iter().filter(|spec| !spec.leaving).collect();
+        let mut available: Vec<&TargetSpec> =
+            specs.iter().filter(|spec| !spec.is_draining).collect();
         available.sort_by_cached_key(|spec| Reverse(rendezvous_score("online", &spec.name)));
         let required = required_targets(&available, in_flight);
         self.targets = self.targets.min(available.len());
--- a/crates/cuminramp-targets/src/packing/tests.rs
+++ b/crates/cuminramp-targets/src/packing/tests.rs
@@ -6,7 +6,8 @@
 use crate::TargetSpec;
 
 fn specs() -> Vec<TargetSpec> {
-    let spec = |index| TargetSpec { name: format!("e{index}").into(), slots: 16, leaving: false };
+    let spec =
+        |index| TargetSpec { name: format!("e{index}").into(), slots: 16, is_draining: false };
     (0..8).map(spec).collect()
 }
 
--- a/crates/cuminramp-targets/src/retry.rs
+++ b/crates/cuminramp-targets/src/retry.rs
@@ -45,7 +45,7 @@
     pub max_attempts: u32,
     /// Whether an earlier attempt ran the request. If one target may have run it, a later attempt on an
     /// unreachable target must not turn the result into "not run".
-    pub earlier: Execution,
+    pub earlier_execution: Execution,
 }
 
 /// What follows a failed attempt.
@@ -96,7 +96,7 @@
     now: Instant,
     may_retry: impl FnOnce() -> bool,
 ) -> RetryDecision {
-    let execution = execution_after(failure.stage).max(traits.earlier);
+    let execution = execution_after(failure.stage).max(traits.earlier_execution);
     let give_up = |code| RetryDecision::GiveUp { code, execution };
     if let FailureStage::Partial { events } = failure.stage
         && events > 0
@@ -176,7 +176,7 @@
     }
 
     /// Returns how long a caller should wait before it retries.
-    pub fn pause(&self) -> Duration {
+    pub fn retry_after(&self) -> Duration {
         if self.level >= 1.0 { Duration::from_millis(200) } else { Duration::from_secs(1) }
     }
 }
--- a/crates/cuminramp-targets/src/retry/tests.rs
+++ b/crates/cuminramp-targets/src/retry/tests.rs
@@ -13,7 +13,7 @@
         is_resumable,
         deadline,
         max_attempts: 3,
-        earlier: Execution::NotRun,
+        earlier_execution: Execution::NotRun,
     }
 }
 
@@ -74,7 +74,8 @@
 #[test]
 fn a_second_attempt_does_not_hide_that_the_first_may_have_run() {
     let now = Instant::now();
-    let traits = RequestTraits { earlier: Execution::MayHaveRun, ..traits(true, true, now) };
+    let traits =
+        RequestTraits { earlier_execution: Execution::MayHaveRun, ..traits(true, true, now) };
     let failure = AttemptFailure { stage: FailureStage::NotSent, is_crash: false };
 
     let decision = decide_retry(&traits, failure, 3, now, || true);
--- a/crates/cuminramp-targets/src/window.rs
+++ b/crates/cuminramp-targets/src/window.rs
@@ -12,7 +12,7 @@
     /// Maximum share of a target's slots that batch work may fill when no other work runs there.
     pub share: f64,
     /// Time for which a window stays closed after online work.
-    pub yield_time: Duration,
+    pub online_cooldown: Duration,
     /// Minimum time between two doublings of a window.
     pub growth_interval: Duration,
     /// Age of a load report above which the window shrinks, linearly to 0 at twice this age.
@@ -23,7 +23,7 @@
     fn default() -> Self {
         WindowPolicy {
             share: 1.0,
-            yield_time: Duration::from_millis(250),
+            online_cooldown: Duration::from_millis(250),
             growth_interval: Duration::from_millis(50),
             max_report_age: Duration::from_secs(2),
         }
@@ -99,7 +99,8 @@
     }
 
     fn is_yielding(&self, now: Instant) -> bool {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < self.policy.yield_time;
+        let is_recent =
+            |at: Instant| now.saturating_duration_since(at) < self.policy.online_cooldown;
         self.online_at.is_some_and(is_recent)
     }
 
