--- a/crates/cuminramp-batch/src/chunk.rs
+++ b/crates/cuminramp-batch/src/chunk.rs
@@ -37,7 +37,7 @@
 
 /// Numbers of a chunk's items by outcome.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct ChunkTally {
+pub struct ChunkCounts {
     /// Items that a target answered with a 2xx status.
     pub completed: u32,
     /// Items that ended with another status or without a response.
@@ -102,20 +102,20 @@
 /// let row = lease_chunk(&ChunkRow::default(), &first).unwrap();
 /// let late = LeaseHolder { host: first, fence: row.fence };
 /// let row = lease_chunk(&row, &second).unwrap();
-/// assert_eq!(commit_chunk(&row, &late, "s", ChunkTally::default()), Err(ChunkError::NotHolder));
+/// assert_eq!(commit_chunk(&row, &late, "s", ChunkCounts::default()), Err(ChunkError::NotHolder));
 /// ```
 pub fn commit_chunk(
     row: &ChunkRow,
     holder: &LeaseHolder,
     segment: &str,
-    tally: ChunkTally,
+    counts: ChunkCounts,
 ) -> Result<ChunkRow, ChunkError> {
     check_holder(row, holder)?;
     Ok(ChunkRow {
         state: ChunkState::Done.into(),
         segment: segment.to_owned(),
-        completed: tally.completed,
-        failed: tally.failed,
+        completed: counts.completed,
+        failed: counts.failed,
         suspects: Vec::new(),
         ..row.clone()
     })
--- a/crates/cuminramp-batch/src/chunk/tests.rs
+++ b/crates/cuminramp-batch/src/chunk/tests.rs
@@ -44,7 +44,7 @@
                 }
                 Step::Commit(index) => {
                     let Some(lease) = leases.get(index) else { continue };
-                    if let Ok(next) = commit_chunk(&row, lease, "s", ChunkTally::default()) {
+                    if let Ok(next) = commit_chunk(&row, lease, "s", ChunkCounts::default()) {
                         prop_assert_eq!(lease.fence, row.fence);
                         commits += 1;
                         row = next;
--- a/crates/cuminramp-batch/src/layout.rs
+++ b/crates/cuminramp-batch/src/layout.rs
@@ -7,7 +7,7 @@
 
 /// Range of a chunk in the job's input file.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ChunkPlace {
+pub struct ChunkRange {
     /// Offset of the first byte.
     pub start: u64,
     /// Offset of the byte after the last.
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ChunkLayout {
     /// Chunks in the order of the input file.
-    pub chunks: Vec<ChunkPlace>,
+    pub chunks: Vec<ChunkRange>,
     /// Number of items in all chunks.
     pub items: u32,
 }
@@ -38,27 +38,27 @@
     /// small chunks, so that several hosts can work on it.
     ///
     /// ```
-    /// let layout = cuminramp_batch::ChunkLayout::cut("a\n\nb\nc\n", 2, 2);
+    /// let layout = cuminramp_batch::ChunkLayout::split("a\n\nb\nc\n", 2, 2);
     /// assert_eq!(layout.items, 3);
     /// assert_eq!(layout.chunks.len(), 2);
     /// assert_eq!(layout.chunks[1].first_line, 4);
     /// ```
-    pub fn cut(text: &str, min_items: u32, max_items: u32) -> Self {
+    pub fn split(text: &str, min_items: u32, max_items: u32) -> Self {
         let items = text.lines().filter(|line| !line.trim().is_empty()).count() as u32;
         let size = (items / DESIRED_CHUNKS).clamp(min_items.max(1), max_items.max(1));
         let mut layout = ChunkLayout { chunks: Vec::new(), items };
-        let mut place = ChunkPlace { start: 0, end: 0, first_line: 1, items: 0 };
+        let mut range = ChunkRange { start: 0, end: 0, first_line: 1, items: 0 };
         for (index, line) in text.split_inclusive('\n').enumerate() {
-            if place.items == size {
-                layout.chunks.push(place);
+            if range.items == size {
+                layout.chunks.push(range);
                 let first_line = index as u32 + 1;
-                place = ChunkPlace { start: place.end, end: place.end, first_line, items: 0 };
+                range = ChunkRange { start: range.end, end: range.end, first_line, items: 0 };
             }
-            place.end += line.len() as u64;
-            place.items += u32::from(!line.trim().is_empty());
+            range.end += line.len() as u64;
+            range.items += u32::from(!line.trim().is_empty());
         }
-        if place.items > 0 {
-            layout.chunks.push(place);
+        if range.items > 0 {
+            layout.chunks.push(range);
         }
         layout
     }
@@ -76,9 +76,9 @@
 /// Returns the key of the row that lists a job as open.
 ///
 /// ```
-/// assert_eq!(cuminramp_batch::open_key("j"), "open/j");
+/// assert_eq!(cuminramp_batch::open_job_key("j"), "open/j");
 /// ```
-pub fn open_key(job: &str) -> String {
+pub fn open_job_key(job: &str) -> String {
     format!("open/{job}")
 }
 
--- a/crates/cuminramp-batch/src/layout/tests.rs
+++ b/crates/cuminramp-batch/src/layout/tests.rs
@@ -5,7 +5,7 @@
 proptest! {
     #[test]
     fn chunks_cover_the_file_without_gap_or_overlap(text in "[a\n]{0,300}", min_items in 1..9u32) {
-        let layout = ChunkLayout::cut(&text, min_items, min_items + 5);
+        let layout = ChunkLayout::split(&text, min_items, min_items + 5);
 
         let items: u32 = layout.chunks.iter().map(|place| place.items).sum();
         prop_assert_eq!(items, layout.items);
--- a/crates/cuminramp-batch/src/lib.rs
+++ b/crates/cuminramp-batch/src/lib.rs
@@ -21,10 +21,10 @@
 mod picker;
 
 pub use chunk::{
-    ChunkError, ChunkTally, LeaseHolder, commit_chunk, is_claimable, lease_chunk, record_crashes,
+    ChunkCounts, ChunkError, LeaseHolder, commit_chunk, is_claimable, lease_chunk, record_crashes,
     release_chunk,
 };
 pub use input::{BatchItem, ItemError, parse_input, parse_line};
-pub use layout::{ChunkLayout, ChunkPlace, chunk_key, job_key, open_key};
+pub use layout::{ChunkLayout, ChunkRange, chunk_key, job_key, open_job_key};
 pub use outcome::ItemOutcome;
 pub use picker::{JobPicker, OpenJob};
--- a/crates/cuminramp-batch/src/picker.rs
+++ b/crates/cuminramp-batch/src/picker.rs
@@ -40,7 +40,7 @@
     /// let job = |id: &str, team: &str| OpenJob { id: id.into(), team: team.into(), weight: 1 };
     /// let jobs = [job("large", "a"), job("small", "b")];
     /// let mut picker = JobPicker::new();
-    /// picker.note(&jobs[0], 500);
+    /// picker.record_claimed(&jobs[0], 500);
     /// assert_eq!(&*picker.order(&jobs)[0].id, "small");
     /// ```
     pub fn order<'j>(&mut self, jobs: &'j [OpenJob]) -> Vec<&'j OpenJob> {
@@ -64,7 +64,7 @@
     }
 
     /// Records that `items` items of a job were scheduled on this host.
-    pub fn note(&mut self, job: &OpenJob, items: u32) {
+    pub fn record_claimed(&mut self, job: &OpenJob, items: u32) {
         self.picks += 1;
         self.picked.insert(job.id.clone(), self.picks);
         let share = f64::from(items) / f64::from(job.weight.max(1));
--- a/crates/cuminramp-batch/src/picker/tests.rs
+++ b/crates/cuminramp-batch/src/picker/tests.rs
@@ -8,7 +8,7 @@
     let mut order = Vec::new();
     for _ in 0..picks {
         let first = picker.order(jobs)[0].clone();
-        picker.note(&first, 10);
+        picker.record_claimed(&first, 10);
         order.push(first.id.to_string());
     }
     order
--- a/crates/cuminramp-cli/src/bench/caller.rs
+++ b/crates/cuminramp-cli/src/bench/caller.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cuminramp_http::{CallError, CallLimits, HttpClient, read_body};
+use cuminramp_http::{CallError, CallTimeouts, HttpClient, read_body};
 use http::header::{AUTHORIZATION, CONTENT_TYPE};
 use http::{Method, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -60,10 +60,10 @@
 impl BenchCaller {
     /// Creates a caller of `addresses`, which are separated by commas.
     pub(crate) fn new(addresses: &str, key: &str) -> Self {
-        let limits = CallLimits { connect: CALL_TIMEOUT, first_byte: CALL_TIMEOUT };
+        let timeouts = CallTimeouts { connect: CALL_TIMEOUT, first_byte: CALL_TIMEOUT };
         let hosts = addresses.split(',').map(|address| BenchHost {
             address: address.trim().to_owned(),
-            client: HttpClient::new(limits),
+            client: HttpClient::new(timeouts),
         });
         BenchCaller { hosts: hosts.collect(), key: key.to_owned() }
     }
--- a/crates/cuminramp-cli/src/bench/replay.rs
+++ b/crates/cuminramp-cli/src/bench/replay.rs
@@ -24,14 +24,14 @@
     let plan = ReplayPlan {
         hosts,
         targets: flags.targets.unwrap_or(hosts),
-        news: flags.news_ms.map_or(defaults.news, Duration::from_millis),
+        report_interval: flags.news_ms.map_or(defaults.report_interval, Duration::from_millis),
         ..defaults
     };
     let result = json!({
         "replay": flags.pattern,
         "hosts": plan.hosts,
         "targets": plan.targets,
-        "news-ms": plan.news.as_millis() as u64,
+        "news-ms": plan.report_interval.as_millis() as u64,
         "seed": plan.seed,
         "report": run_replay(&plan),
     });
--- a/crates/cuminramp-cli/src/connection.rs
+++ b/crates/cuminramp-cli/src/connection.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cuminramp_http::{CallLimits, HttpClient, read_body};
+use cuminramp_http::{CallTimeouts, HttpClient, read_body};
 use http::header::{AUTHORIZATION, CONTENT_TYPE};
 use http::{Method, Request, StatusCode};
 use http_body_util::Full;
@@ -71,9 +71,9 @@
     /// Without an address it calls [`DEFAULT_OPERATOR_ADDRESS`]; without a token it reads
     /// [`TOKEN_ENV_VAR`].
     pub(crate) fn new(address: Option<String>, token: Option<String>) -> Self {
-        let limits = CallLimits { connect: CALL_TIMEOUT, first_byte: CALL_TIMEOUT };
+        let timeouts = CallTimeouts { connect: CALL_TIMEOUT, first_byte: CALL_TIMEOUT };
         OperatorClient {
-            client: HttpClient::new(limits),
+            client: HttpClient::new(timeouts),
             address: address.unwrap_or_else(|| DEFAULT_OPERATOR_ADDRESS.into()),
             token: token.or_else(|| std::env::var(TOKEN_ENV_VAR).ok()).unwrap_or_default(),
         }
--- a/crates/cuminramp-core/src/code.rs
+++ b/crates/cuminramp-core/src/code.rs
@@ -32,7 +32,7 @@
 }
 
 macro_rules! result_codes {
-    ($($(#[$doc:meta])* $variant:ident = $number:literal, $status:literal, $kind:literal;)*) => {
+    ($($(#[$doc:meta])* $variant:ident = $number:literal, $status:literal, $error_type:literal;)*) => {
         /// Numbered reason for a refusal or failure; `docs/result-codes.md` lists all of them.
         #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
         pub enum ResultCode {
@@ -58,8 +58,8 @@
             }
 
             /// Returns the `type` field of an error body, as OpenAI clients parse it.
-            pub fn kind(self) -> &'static str {
-                match self { $(ResultCode::$variant => $kind,)* }
+            pub fn error_type(self) -> &'static str {
+                match self { $(ResultCode::$variant => $error_type,)* }
             }
 
             /// Returns the name of the variant, as `docs/result-codes.md` lists it.
--- a/crates/cuminramp-core/src/random.rs
+++ b/crates/cuminramp-core/src/random.rs
@@ -9,7 +9,7 @@
     fn below(&mut self, bound: usize) -> usize;
 
     /// Returns a number in `0.0..1.0`.
-    fn fraction(&mut self) -> f64;
+    fn unit_interval(&mut self) -> f64;
 }
 
 /// Random source that yields the same sequence for the same seed.
@@ -33,7 +33,7 @@
         if bound == 0 { 0 } else { self.0.random_range(0..bound) }
     }
 
-    fn fraction(&mut self) -> f64 {
+    fn unit_interval(&mut self) -> f64 {
         self.0.random()
     }
 }
--- a/crates/cuminramp-core/src/sorted_map.rs
+++ b/crates/cuminramp-core/src/sorted_map.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns the value at `key` together with the stored key.
-    pub fn get_entry<Q: Ord + ?Sized>(&self, key: &Q) -> Option<(&K, &V)>
+    pub fn get_key_value<Q: Ord + ?Sized>(&self, key: &Q) -> Option<(&K, &V)>
     where
         K: std::borrow::Borrow<Q>,
     {
--- a/crates/cuminramp-daemon/src/batch/chunks.rs
+++ b/crates/cuminramp-daemon/src/batch/chunks.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cuminramp_batch::{chunk_key, commit_chunk, open_key, record_crashes, release_chunk};
+use cuminramp_batch::{chunk_key, commit_chunk, open_job_key, record_crashes, release_chunk};
 use cuminramp_platform::{CommitOutcome, StoreError, Transaction};
 use cuminramp_wire::rows::{ChunkRow, ChunkState};
 use cuminramp_wire::{decode_row, encode_row};
@@ -33,20 +33,20 @@
 /// not run again.
 pub(crate) async fn finish_chunk(state: &Arc<DaemonState>, chunk: &Arc<HeldChunk>) {
     let segment = segment_name(&chunk.job.id, chunk.index, chunk.lease.fence);
-    let tally = chunk.tally();
+    let counts = chunk.counts();
     while !chunk.dropped.is_cancelled() {
         if write_segment(state, chunk, &segment).await.is_err() {
             tokio::time::sleep(RETRY_DELAY).await;
             continue;
         }
-        let commit = |row: &ChunkRow| commit_chunk(row, &chunk.lease, &segment, tally).ok();
+        let commit = |row: &ChunkRow| commit_chunk(row, &chunk.lease, &segment, counts).ok();
         match update_row(state, chunk, commit).await {
             UpdateOutcome::Retry => tokio::time::sleep(RETRY_DELAY).await,
             end => {
                 let decision = if end == UpdateOutcome::Written { "committed" } else { "lost" };
                 log::info!(
                     job = &*chunk.job.id, chunk = chunk.index, fence = chunk.lease.fence,
-                    completed = tally.completed, failed = tally.failed, decision = decision;
+                    completed = counts.completed, failed = counts.failed, decision = decision;
                     "chunk"
                 );
                 break;
@@ -123,7 +123,7 @@
     let mut transaction =
         Transaction::default().put_at(key.clone(), held.version, encode_row(&next));
     transaction.conditions.push(cuminramp_platform::Condition {
-        key: open_key(&chunk.job.id),
+        key: open_job_key(&chunk.job.id),
         version: chunk.job.open_version,
     });
     match state.platform.table.commit(transaction).await {
--- a/crates/cuminramp-daemon/src/batch/claims.rs
+++ b/crates/cuminramp-daemon/src/batch/claims.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cuminramp_batch::{
-    ChunkLayout, ChunkPlace, JobPicker, LeaseHolder, OpenJob, chunk_key, is_claimable, job_key,
-    lease_chunk, open_key, parse_input,
+    ChunkLayout, ChunkRange, JobPicker, LeaseHolder, OpenJob, chunk_key, is_claimable, job_key,
+    lease_chunk, open_job_key, parse_input,
 };
 use cuminramp_core::{HostId, Name, rendezvous_score};
 use cuminramp_platform::{CommitOutcome, StoreError, Transaction};
@@ -70,7 +70,7 @@
         let items = claim_from_job(state, job, capacity).await?;
         if let Some(open) = open.iter().find(|open| open.id == id) {
             // A job without a free chunk counts as one item, so that it doesn't stay ahead of others.
-            picker.note(open, items.max(1));
+            picker.record_claimed(open, items.max(1));
         }
     }
     Ok(())
@@ -100,7 +100,7 @@
     let rows = state.platform.table.scan("open/", "", MAX_OPEN_JOBS).await?;
     state.note_table(Instant::now());
     let is_open = |job: &TrackedJob| {
-        let key = open_key(&job.id);
+        let key = open_job_key(&job.id);
         rows.iter().any(|row| row.key == key && row.version == job.open_version)
     };
     tracked.retain(|job| {
@@ -111,7 +111,7 @@
         open
     });
     for row in &rows {
-        if tracked.iter().any(|job| open_key(&job.id) == row.key) {
+        if tracked.iter().any(|job| open_job_key(&job.id) == row.key) {
             continue;
         }
         let Ok(job_row) = decode_row::<JobRow>(&row.value) else {
@@ -168,9 +168,9 @@
     let leased = lease_chunks(state, job, candidates).await?;
     let mut items = 0;
     for held in leased {
-        let place = job.layout.chunks[held.row.index as usize];
-        items += place.items;
-        load_chunk(state, job, held, place).await?;
+        let range = job.layout.chunks[held.row.index as usize];
+        items += range.items;
+        load_chunk(state, job, held, range).await?;
     }
     state.batch.runner_wakeup.notify_one();
     Ok(items)
@@ -185,7 +185,7 @@
 fn may_claim_for(state: &DaemonState, model: &str) -> bool {
     let in_force = state.configuration.in_force();
     let configuration = &in_force.configuration;
-    let route = in_force.planner.plan(configuration, RouteQuery::Model(model));
+    let route = in_force.index.find(configuration, RouteQuery::Model(model));
     match route.and_then(|route| configuration.pools.get(&*route.pool)) {
         Some(pool) => owns_any_batch(state, pool),
         None => true,
@@ -268,16 +268,16 @@
     state: &Arc<DaemonState>,
     job: &Arc<TrackedJob>,
     held: HeldRow,
-    place: ChunkPlace,
+    range: ChunkRange,
 ) -> Result<(), StoreError> {
     let object = file_object(&job.team, &job.row.input_file);
-    let body = state.platform.objects.get_range(&object, place.start, place.end).await?;
+    let body = state.platform.objects.get_range(&object, range.start, range.end).await?;
     let Some(body) = body else {
         return Err(StoreError::Unavailable(format!("{object} is missing")));
     };
     let text = String::from_utf8_lossy(&body);
     let mut items: Vec<HeldItem> =
-        parse_input(&text, place.first_line as usize).into_iter().map(held_item).collect();
+        parse_input(&text, range.first_line as usize).into_iter().map(held_item).collect();
     for counted in &held.row.suspects {
         if let Some(item) = items.get_mut(counted.index as usize) {
             item.crashes = Some(counted.crashes);
@@ -293,7 +293,7 @@
     });
     log::info!(
         job = &*job.id, team = &*job.team, chunk = chunk.index, fence = chunk.lease.fence,
-        items = place.items, decision = "leased";
+        items = range.items, decision = "leased";
         "chunk"
     );
     lock(&state.batch.held).push(chunk.clone());
@@ -343,7 +343,7 @@
         let model = held.item.as_ref().map(|item| item.model.clone()).unwrap_or_default();
         (model, held.crashes.is_some())
     };
-    let route = in_force.planner.plan(&in_force.configuration, RouteQuery::Model(&model));
+    let route = in_force.index.find(&in_force.configuration, RouteQuery::Model(&model));
     let Some(pool) = route.map(|route| route.pool.clone()) else {
         return crate::batch::runner::end_without_route(state, &item, &model);
     };
@@ -384,7 +384,7 @@
     };
     let mut transaction =
         Transaction::default().put_at(job_key(&job.id), found.version, encode_row(&next));
-    transaction.deletes.push(open_key(&job.id));
+    transaction.deletes.push(open_job_key(&job.id));
     if let CommitOutcome::Committed(_) = state.platform.table.commit(transaction).await? {
         log::info!(
             job = &*job.id, completed = next.completed, failed = next.failed,
--- a/crates/cuminramp-daemon/src/batch/held.rs
+++ b/crates/cuminramp-daemon/src/batch/held.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use cuminramp_batch::{BatchItem, ChunkLayout, ChunkTally, ItemOutcome, LeaseHolder};
+use cuminramp_batch::{BatchItem, ChunkCounts, ChunkLayout, ItemOutcome, LeaseHolder};
 use cuminramp_core::Name;
 use cuminramp_platform::Version;
 use cuminramp_wire::rows::{ChunkRow, JobRow, SuspectItem};
@@ -82,11 +82,11 @@
     }
 
     /// Counts the completed and failed items. An item without an outcome counts as failed.
-    pub(crate) fn tally(&self) -> ChunkTally {
+    pub(crate) fn counts(&self) -> ChunkCounts {
         let items = lock(&self.items);
         let ended = items.iter().filter_map(|item| item.outcome.as_ref());
         let completed = ended.filter(|outcome| outcome.is_success()).count() as u32;
-        ChunkTally { completed, failed: items.len() as u32 - completed }
+        ChunkCounts { completed, failed: items.len() as u32 - completed }
     }
 
     /// Returns the chunk's lines of the output file (`success`) or of the error file.
--- a/crates/cuminramp-daemon/src/batch/jobs.rs
+++ b/crates/cuminramp-daemon/src/batch/jobs.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use cuminramp_batch::{ChunkLayout, job_key, open_key, parse_line};
+use cuminramp_batch::{ChunkLayout, job_key, open_job_key, parse_line};
 use cuminramp_core::{Execution, Name, Refusal, ResultCode};
 use cuminramp_platform::{CommitOutcome, Row, StoreError, Transaction};
 use cuminramp_wire::rows::{ChunkRow, ChunkState, JobRow, JobState};
@@ -132,7 +132,7 @@
     let text = std::str::from_utf8(&content)
         .map_err(|_| Refusal::not_run(ResultCode::FieldInvalid, "the input file is not UTF-8"))?;
     let batch = &state.settings.batch;
-    let layout = ChunkLayout::cut(text, batch.min_chunk_items, batch.max_chunk_items);
+    let layout = ChunkLayout::split(text, batch.min_chunk_items, batch.max_chunk_items);
     let max_items = state.settings.limits.max_batch_items;
     if layout.items == 0 {
         return Err(Refusal::not_run(ResultCode::FieldInvalid, "the input file has no items"));
@@ -151,7 +151,7 @@
     let value = encode_row(row);
     let transaction = Transaction::default()
         .put_at(job_key(&row.id), 0, value.clone())
-        .put_at(open_key(&row.id), 0, value)
+        .put_at(open_job_key(&row.id), 0, value)
         .put(team_job_key(&row.team, &row.id), Vec::new());
     match state.platform.table.commit(transaction).await {
         Ok(CommitOutcome::Committed(_) | CommitOutcome::Conflict(_)) => Ok(()),
@@ -261,7 +261,7 @@
         };
         let mut transaction =
             Transaction::default().put_at(job_key(id), job.version, encode_row(&row));
-        transaction.deletes.push(open_key(id));
+        transaction.deletes.push(open_job_key(id));
         match state.platform.table.commit(transaction).await {
             Ok(CommitOutcome::Committed(_)) => {
                 log::info!(job = id, team = team, decision = "cancelled"; "job");
--- a/crates/cuminramp-daemon/src/cmd/quickstart.rs
+++ b/crates/cuminramp-daemon/src/cmd/quickstart.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cuminramp_daemon::{Daemon, DaemonAddresses, PlatformInterfaces, start_logging};
-use cuminramp_http::{CallLimits, HttpClient, read_body};
+use cuminramp_http::{CallTimeouts, HttpClient, read_body};
 use cuminramp_standin::{Engine, EngineSettings, MemoryPlatform, PlatformSettings};
 use http::{Method, Request};
 use http_body_util::Full;
@@ -135,7 +135,7 @@
 impl OperatorClient {
     fn new(address: SocketAddr) -> Self {
         let timeout = Duration::from_secs(10);
-        let client = HttpClient::new(CallLimits { connect: timeout, first_byte: timeout });
+        let client = HttpClient::new(CallTimeouts { connect: timeout, first_byte: timeout });
         OperatorClient { client, base: format!("http://{address}") }
     }
 
--- a/crates/cuminramp-daemon/src/daemon.rs
+++ b/crates/cuminramp-daemon/src/daemon.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use cuminramp_core::{Host, HostId, Name, RandomSource, SeededRandom};
-use cuminramp_http::{CallLimits, ServeLimits, serve_router};
+use cuminramp_http::{CallTimeouts, ServeLimits, serve_router};
 use cuminramp_membership::{MemberPolicy, MemberTable, SteeringPlanner};
 use cuminramp_platform::HttpPlatform;
 use cuminramp_quota::{LedgerPolicy, QuotaLedger, StaticSplit, TOKEN};
@@ -229,14 +229,14 @@
     let seed =
         if settings.random_seed == 0 { rand::rng().next_u64() } else { settings.random_seed };
     let random: Box<dyn RandomSource> = Box::new(SeededRandom::new(seed));
-    let limits = CallLimits {
+    let timeouts = CallTimeouts {
         connect: settings.targets.connect_timeout(),
         first_byte: settings.targets.first_byte_timeout(),
     };
     let retries = &settings.retries;
     Ok(DaemonState {
         peers: Arc::new(TarpcPeers::new(settings.peers.call_timeout())),
-        caller: Arc::new(HttpTargets::new(limits)),
+        caller: Arc::new(HttpTargets::new(timeouts)),
         configuration: ConfigurationStore::new(settings.configuration.log_generations),
         ledger: QuotaLedger::new(me.id.clone(), ledger_policy(&settings), now).into(),
         split: StaticSplit::new().into(),
--- a/crates/cuminramp-daemon/src/dispatch/attempt.rs
+++ b/crates/cuminramp-daemon/src/dispatch/attempt.rs
@@ -105,7 +105,7 @@
     let remaining = deadline.saturating_duration_since(started);
     let outcome = tokio::select! {
         outcome = state.caller.call(&lease.target.address, request, timeout.min(remaining)) => outcome,
-        () = lease.silence_token.cancelled() => Err(CallError::Silent("no load report".into())),
+        () = lease.silence_token.cancelled() => Err(CallError::TimedOut("no load report".into())),
     };
     match outcome {
         Ok(answer) => {
@@ -120,8 +120,8 @@
             // If the request's own deadline came first, nothing is known about the target's health.
             let deadline_first = remaining < timeout && !lease.silence_token.is_cancelled();
             lease.note(match error {
-                CallError::Silent(_) if deadline_first => AttemptEnd::Abandoned,
-                CallError::Silent(_) => AttemptEnd::Silent,
+                CallError::TimedOut(_) if deadline_first => AttemptEnd::Abandoned,
+                CallError::TimedOut(_) => AttemptEnd::Silent,
                 _ => AttemptEnd::Failed,
             });
             let reason = error.to_string();
@@ -136,7 +136,7 @@
     match error {
         CallError::NotSent(_) => AttemptFailure { stage: FailureStage::NotSent, is_crash: false },
         CallError::Broken(_) => AttemptFailure { stage: FailureStage::Sent, is_crash: true },
-        CallError::Silent(_) => AttemptFailure { stage: FailureStage::Sent, is_crash: false },
+        CallError::TimedOut(_) => AttemptFailure { stage: FailureStage::Sent, is_crash: false },
     }
 }
 
--- a/crates/cuminramp-daemon/src/dispatch/target_caller.rs
+++ b/crates/cuminramp-daemon/src/dispatch/target_caller.rs
@@ -5,7 +5,7 @@
 
 use async_trait::async_trait;
 use cuminramp_core::{Name, SortedMap};
-use cuminramp_http::{CallError, CallLimits, HttpClient};
+use cuminramp_http::{CallError, CallTimeouts, HttpClient};
 use futures_util::StreamExt;
 use http::Request;
 use http_body_util::{BodyStream, Full};
@@ -18,19 +18,19 @@
 /// Each address has its own connection pool, so the connections to one silent target can be dropped without
 /// affecting the others.
 pub(crate) struct HttpTargets {
-    limits: CallLimits,
+    timeouts: CallTimeouts,
     clients: Mutex<SortedMap<Name, Arc<HttpClient>>>,
 }
 
 impl HttpTargets {
-    pub(crate) fn new(limits: CallLimits) -> Self {
-        HttpTargets { limits, clients: Mutex::default() }
+    pub(crate) fn new(timeouts: CallTimeouts) -> Self {
+        HttpTargets { timeouts, clients: Mutex::default() }
     }
 
     /// Returns the client for an address, and creates it on first use.
     fn client(&self, address: &str) -> Arc<HttpClient> {
         let mut clients = lock(&self.clients);
-        let new_client = || Arc::new(HttpClient::new(self.limits));
+        let new_client = || Arc::new(HttpClient::new(self.timeouts));
         if let Some(client) = clients.get(address) {
             return client.clone();
         }
--- a/crates/cuminramp-daemon/src/entry/chat.rs
+++ b/crates/cuminramp-daemon/src/entry/chat.rs
@@ -103,7 +103,7 @@
 ) -> Result<(Route, Pool), Refusal> {
     let in_force = state.configuration.in_force();
     let configuration = &in_force.configuration;
-    let found = in_force.planner.plan(configuration, query);
+    let found = in_force.index.find(configuration, query);
     let found = found.and_then(|route| Some((route, configuration.pools.get(&*route.pool)?)));
     match found {
         Some((route, pool)) => Ok((route.clone(), pool.clone())),
@@ -155,7 +155,7 @@
     _: AuthenticatedCaller,
 ) -> Json<Value> {
     let in_force = state.configuration.in_force();
-    let models = in_force.planner.models();
+    let models = in_force.index.models();
     let data: Vec<Value> = models
         .map(|model| json!({"id": &**model, "object": "model", "created": 0, "owned_by": "cuminramp"}))
         .collect();
--- a/crates/cuminramp-daemon/src/entry/responses.rs
+++ b/crates/cuminramp-daemon/src/entry/responses.rs
@@ -16,7 +16,7 @@
     json!({
         "error": {
             "message": refusal.message,
-            "type": refusal.code.kind(),
+            "type": refusal.code.error_type(),
             "code": refusal.code.name(),
             "param": null,
             "cuminramp_code": refusal.code.number(),
--- a/crates/cuminramp-daemon/src/sync/configuration.rs
+++ b/crates/cuminramp-daemon/src/sync/configuration.rs
@@ -6,7 +6,7 @@
 use cuminramp_core::KeyDigest;
 use cuminramp_platform::{StoreError, Version};
 use cuminramp_routes::{
-    CatchUp, Configuration, GenerationLog, KeyGrant, RoutePlanner, WithdrawalSet,
+    CatchUp, Configuration, GenerationLog, KeyGrant, RouteIndex, WithdrawalSet,
 };
 use cuminramp_wire::peer::{PullReply, PullRequest, VersionDigest};
 use cuminramp_wire::rows::{ChangeSet, HeadRow, Snapshot};
@@ -20,16 +20,16 @@
 /// Maximum number of change sets read from the table in one call.
 const MAX_CHANGES_PER_READ: u64 = 256;
 
-/// A configuration and the route planner built from it.
+/// A configuration and the route index built from it.
 pub(crate) struct InForceConfiguration {
     pub(crate) configuration: Configuration,
-    pub(crate) planner: RoutePlanner,
+    pub(crate) index: RouteIndex,
 }
 
 impl InForceConfiguration {
     fn new(configuration: Configuration) -> Self {
-        let planner = RoutePlanner::new(&configuration);
-        InForceConfiguration { configuration, planner }
+        let index = RouteIndex::new(&configuration);
+        InForceConfiguration { configuration, index }
     }
 }
 
@@ -102,7 +102,7 @@
     fn install(&self, configuration: Configuration) {
         let generation = configuration.generation;
         let mut withdrawals = WithdrawalSet::clone(&self.withdrawals.load());
-        withdrawals.retain_unwritten(|digest| !configuration.keys.contains_key(digest));
+        withdrawals.remove_written(|digest| !configuration.keys.contains_key(digest));
         self.in_force.store(Arc::new(InForceConfiguration::new(configuration)));
         self.withdrawals.store(Arc::new(withdrawals));
         self.changed.send_modify(|count| *count += 1);
--- a/crates/cuminramp-fleet/src/slots/search.rs
+++ b/crates/cuminramp-fleet/src/slots/search.rs
@@ -125,6 +125,6 @@
 /// random, so that refused requests do not all return at once.
 pub(crate) fn retry_after(wait: Duration, random: &mut dyn RandomSource) -> Duration {
     let (min, max) = RETRY_AFTER_RANGE_S;
-    let drawn = min + (max - min) * random.fraction();
+    let drawn = min + (max - min) * random.unit_interval();
     Duration::from_secs_f64(drawn.max(wait.as_secs_f64().min(max)))
 }
--- a/crates/cuminramp-gateway/src/entry/responses.rs
+++ b/crates/cuminramp-gateway/src/entry/responses.rs
@@ -82,7 +82,7 @@
     let body = json!({
         "error": {
             "message": refusal.message,
-            "type": refusal.code.kind(),
+            "type": refusal.code.error_type(),
             "code": refusal.code.name(),
             "cuminramp_code": refusal.code.number(),
             "execution": refusal.execution.as_str(),
--- a/crates/cuminramp-gateway/src/sync/follow.rs
+++ b/crates/cuminramp-gateway/src/sync/follow.rs
@@ -5,7 +5,7 @@
 
 use async_trait::async_trait;
 use cuminramp_fleet::HeartbeatSchedule;
-use cuminramp_platform::{RowChange, StoreError, TableSnapshot, WatchAnswer};
+use cuminramp_platform::{RowChange, StoreError, TableSnapshot, WatchResponse};
 use tokio::time::Instant;
 
 use crate::state::{GatewayState, lock};
@@ -109,11 +109,11 @@
     wait: Duration,
 ) -> Result<Option<u64>, StoreError> {
     match state.store.watch(follower.table(), after, wait).await? {
-        WatchAnswer::HistoryLost => {
+        WatchResponse::HistoryLost => {
             log::warn!(table = follower.table(), version = after; "history-lost");
             Ok(None)
         }
-        WatchAnswer::Changes { changes, version } => {
+        WatchResponse::Changes { changes, version } => {
             if !changes.is_empty() {
                 follower.change(state, changes, version).await;
             }
--- a/crates/cuminramp-gateway/src/sync/relay.rs
+++ b/crates/cuminramp-gateway/src/sync/relay.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use cuminramp_platform::{
     CommitOutcome, Condition, ObjectStore, Row, RowChange, StoreError, TableSnapshot, TableStore,
-    Transaction, Version, WatchAnswer, WatchedTable,
+    Transaction, Version, WatchResponse, WatchedTable,
 };
 use cuminramp_wire::fleet::store_call::Call;
 use cuminramp_wire::fleet::{
@@ -254,18 +254,18 @@
         table: &str,
         after: Version,
         wait: Duration,
-    ) -> Result<WatchAnswer, StoreError> {
+    ) -> Result<WatchResponse, StoreError> {
         let call =
             Call::Watch(WatchCall { table: table.into(), after, wait_ms: wait.as_millis() as u64 });
         let read = |reply: StoreReply| {
             if reply.is_history_lost {
-                return WatchAnswer::HistoryLost;
+                return WatchResponse::HistoryLost;
             }
             let version = reply.version;
             let changes = reply.rows.into_iter().filter_map(|row| {
                 Some(RowChange { row: unpack(row.row?), is_deleted: row.is_absent })
             });
-            WatchAnswer::Changes { changes: changes.collect(), version }
+            WatchResponse::Changes { changes: changes.collect(), version }
         };
         let limit = wait + WATCH_MARGIN;
         self.call(self.direct.watch(table, after, wait), call, limit, read).await
@@ -334,8 +334,8 @@
         Call::Watch(call) => {
             let wait = Duration::from_millis(call.wait_ms);
             match store.watch(&call.table, call.after, wait).await? {
-                WatchAnswer::HistoryLost => reply.is_history_lost = true,
-                WatchAnswer::Changes { changes, version } => {
+                WatchResponse::HistoryLost => reply.is_history_lost = true,
+                WatchResponse::Changes { changes, version } => {
                     reply.version = version;
                     let rows = changes.iter().map(|change| StoreRow {
                         is_absent: change.is_deleted,
--- a/crates/cuminramp-http/src/client.rs
+++ b/crates/cuminramp-http/src/client.rs
@@ -21,7 +21,7 @@
 
 /// How long the steps of one call may take.
 #[derive(Clone, Copy, Debug)]
-pub struct CallLimits {
+pub struct CallTimeouts {
     /// Until the connection stands.
     pub connect: Duration,
     /// Until the head of the answer is there, counted from the start.
@@ -36,7 +36,7 @@
     /// The connection broke after bytes were sent.
     Broken(String),
     /// Nothing came back in time.
-    Silent(String),
+    TimedOut(String),
 }
 
 impl CallError {}
@@ -46,7 +46,7 @@
         match self {
             CallError::NotSent(reason) => write!(formatter, "not sent: {reason}"),
             CallError::Broken(reason) => write!(formatter, "connection broke: {reason}"),
-            CallError::Silent(reason) => write!(formatter, "silent: {reason}"),
+            CallError::TimedOut(reason) => write!(formatter, "silent: {reason}"),
         }
     }
 }
@@ -61,7 +61,7 @@
 /// for good while new ones work. One would notice that calls time out one after another until each
 /// pooled connection has been used up. So the first silent call throws the whole pool away.
 pub struct HttpClient {
-    limits: CallLimits,
+    limits: CallTimeouts,
     pool: ArcSwap<PooledClient>,
 }
 
@@ -70,11 +70,11 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use cuminramp_http::{CallLimits, HttpClient};
-    /// let limits = CallLimits { connect: Duration::from_secs(1), first_byte: Duration::from_secs(5) };
+    /// use cuminramp_http::{CallTimeouts, HttpClient};
+    /// let limits = CallTimeouts { connect: Duration::from_secs(1), first_byte: Duration::from_secs(5) };
     /// let client = HttpClient::new(limits);
     /// ```
-    pub fn new(limits: CallLimits) -> Self {
+    pub fn new(limits: CallTimeouts) -> Self {
         HttpClient { limits, pool: ArcSwap::from_pointee(open_pool(&limits)) }
     }
 
@@ -99,7 +99,7 @@
             Ok(Err(error)) => Err(CallError::Broken(describe(&error))),
             Err(_) => {
                 self.drop_pool();
-                Err(CallError::Silent(format!("no answer within {} ms", first_byte.as_millis())))
+                Err(CallError::TimedOut(format!("no answer within {} ms", first_byte.as_millis())))
             }
         }
     }
@@ -116,7 +116,7 @@
     }
 }
 
-fn open_pool(limits: &CallLimits) -> PooledClient {
+fn open_pool(limits: &CallTimeouts) -> PooledClient {
     let mut connector = HttpConnector::new();
     connector.set_connect_timeout(Some(limits.connect));
     connector.set_nodelay(true);
@@ -142,7 +142,7 @@
 
 /// Reads a body of at most `max_bytes` within `limit`.
 ///
-/// Fails as [`CallError::Broken`] where it is larger or breaks off, as [`CallError::Silent`] where
+/// Fails as [`CallError::Broken`] where it is larger or breaks off, as [`CallError::TimedOut`] where
 /// it does not end in time.
 pub async fn read_body(
     body: Incoming,
@@ -152,6 +152,8 @@
     match tokio::time::timeout(limit, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) => Err(CallError::Broken(error.to_string())),
-        Err(_) => Err(CallError::Silent(format!("body not whole within {} ms", limit.as_millis()))),
+        Err(_) => {
+            Err(CallError::TimedOut(format!("body not whole within {} ms", limit.as_millis())))
+        }
     }
 }
--- a/crates/cuminramp-http/src/lib.rs
+++ b/crates/cuminramp-http/src/lib.rs
@@ -3,5 +3,5 @@
 mod client;
 mod server;
 
-pub use client::{CallError, CallLimits, HttpClient, read_body};
+pub use client::{CallError, CallTimeouts, HttpClient, read_body};
 pub use server::{ServeLimits, accept_next, serve_router};
--- a/crates/cuminramp-platform/src/http_platform.rs
+++ b/crates/cuminramp-platform/src/http_platform.rs
@@ -5,7 +5,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use cuminramp_core::Name;
-use cuminramp_http::{CallError, CallLimits, HttpClient, read_body};
+use cuminramp_http::{CallError, CallTimeouts, HttpClient, read_body};
 use http::{Method, Request, StatusCode};
 use http_body_util::Full;
 use serde::Serialize;
@@ -167,7 +167,7 @@
     /// let platform = cuminramp_platform::HttpPlatform::new("127.0.0.1:7000", Duration::from_secs(2));
     /// ```
     pub fn new(address: &str, timeout: Duration) -> Self {
-        let limits = CallLimits { connect: timeout, first_byte: timeout };
+        let limits = CallTimeouts { connect: timeout, first_byte: timeout };
         HttpPlatform { client: HttpClient::new(limits), base: format!("http://{address}"), timeout }
     }
 
@@ -220,7 +220,7 @@
 fn to_store_error(error: CallError) -> StoreError {
     match error {
         CallError::NotSent(reason) => StoreError::Unavailable(reason),
-        CallError::Broken(reason) | CallError::Silent(reason) => StoreError::Unknown(reason),
+        CallError::Broken(reason) | CallError::TimedOut(reason) => StoreError::Unknown(reason),
     }
 }
 
--- a/crates/cuminramp-platform/src/lib.rs
+++ b/crates/cuminramp-platform/src/lib.rs
@@ -15,5 +15,5 @@
 pub use objects::ObjectStore;
 pub use table::{
     CommitOutcome, Condition, Row, RowChange, TableSnapshot, TableStore, Transaction, Version,
-    WatchAnswer, WatchedTable,
+    WatchResponse, WatchedTable,
 };
--- a/crates/cuminramp-platform/src/table.rs
+++ b/crates/cuminramp-platform/src/table.rs
@@ -108,7 +108,7 @@
 
 /// What a watch brought.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum WatchAnswer {
+pub enum WatchResponse {
     /// Changes in their order, none where the time ran out, and the version to go on from.
     Changes {
         /// The changes.
@@ -132,5 +132,5 @@
         table: &str,
         after: Version,
         wait: std::time::Duration,
-    ) -> Result<WatchAnswer, StoreError>;
+    ) -> Result<WatchResponse, StoreError>;
 }
--- a/crates/cuminramp-replay/src/plan.rs
+++ b/crates/cuminramp-replay/src/plan.rs
@@ -65,7 +65,7 @@
     /// Jobs a second and target.
     pub jobs_per_s: f64,
     /// How often hosts report what they have in flight.
-    pub news: Duration,
+    pub report_interval: Duration,
     /// Whether targets tell their load in answers.
     pub tells_load: bool,
     /// How long callers and jobs come.
@@ -89,7 +89,7 @@
             slots: 8,
             requests_per_s: 4.5,
             jobs_per_s: 0.055,
-            news: Duration::from_millis(10),
+            report_interval: Duration::from_millis(10),
             tells_load: true,
             length: Duration::from_secs(40),
             seed,
--- a/crates/cuminramp-replay/src/tests.rs
+++ b/crates/cuminramp-replay/src/tests.rs
@@ -52,7 +52,7 @@
     let plan = ReplayPlan {
         hosts: 35,
         targets: 45,
-        news: Duration::from_millis(100),
+        report_interval: Duration::from_millis(100),
         length: Duration::from_secs(17),
         ..ReplayPlan::new(LoadPattern::FailingTargets, seed)
     };
@@ -72,7 +72,7 @@
     let plan = ReplayPlan {
         hosts: 35,
         targets: 45,
-        news: Duration::from_millis(200),
+        report_interval: Duration::from_millis(200),
         length: Duration::from_secs(17),
         ..ReplayPlan::new(LoadPattern::Waves, seed)
     };
--- a/crates/cuminramp-replay/src/world.rs
+++ b/crates/cuminramp-replay/src/world.rs
@@ -172,7 +172,7 @@
             if self.now >= self.next_updates {
                 self.report_all();
                 self.save_progress();
-                self.next_updates = self.now + self.plan.news;
+                self.next_updates = self.now + self.plan.report_interval;
             }
             self.start_items();
         }
--- a/crates/cuminramp-replay/src/world/arrivals.rs
+++ b/crates/cuminramp-replay/src/world/arrivals.rs
@@ -46,7 +46,7 @@
         // More than one may come in a step of a large fleet.
         let mut expected = per_s * STEP.as_secs_f64();
         while expected > 0.0 {
-            if self.random.fraction() < expected {
+            if self.random.unit_interval() < expected {
                 self.report.requests += 1;
                 self.call(self.now, true);
             }
@@ -60,7 +60,7 @@
             && self.passed() < FAULT_AT + BURST.0;
         let part = if in_burst { BURST.1 } else { 1.0 };
         let per_s = self.plan.jobs_per_s * self.plan.targets as f64 * part;
-        if self.is_away || self.random.fraction() >= per_s * STEP.as_secs_f64() {
+        if self.is_away || self.random.unit_interval() >= per_s * STEP.as_secs_f64() {
             return;
         }
         let job: Name = format!("j{}", self.jobs.len()).into();
@@ -92,7 +92,7 @@
     }
 
     fn vary(&mut self, mean: Duration) -> Duration {
-        mean.mul_f64(1.0 + SPREAD * (2.0 * self.random.fraction() - 1.0))
+        mean.mul_f64(1.0 + SPREAD * (2.0 * self.random.unit_interval() - 1.0))
     }
 
     fn call(&mut self, since: Instant, may_return: bool) {
--- a/crates/cuminramp-routes/src/configuration.rs
+++ b/crates/cuminramp-routes/src/configuration.rs
@@ -196,7 +196,7 @@
     /// The timing of the binary search depends on digests, which reveal nothing about the key. The
     /// final comparison is constant-time: it doesn't depend on where two digests differ.
     pub fn find_key(&self, digest: &KeyDigest) -> Option<&KeyGrant> {
-        let (found, grant) = self.keys.get_entry(digest)?;
+        let (found, grant) = self.keys.get_key_value(digest)?;
         found.matches(digest).then_some(grant)
     }
 }
--- a/crates/cuminramp-routes/src/index.rs
+++ b/crates/cuminramp-routes/src/index.rs
@@ -15,19 +15,19 @@
 
 /// Index of route names by model and by path prefix.
 #[derive(Clone, Debug, Default)]
-pub struct RoutePlanner {
+pub struct RouteIndex {
     by_model: SortedMap<Name, Name>,
     by_prefix: SortedMap<Name, Name>,
 }
 
-impl RoutePlanner {
+impl RouteIndex {
     /// Indexes the routes of `configuration`.
     pub fn new(configuration: &Configuration) -> Self {
         let routes = || configuration.routes.values();
         let models = routes().filter_map(|route| Some((route.model.clone()?, route.name.clone())));
         let prefixes =
             routes().filter_map(|route| Some((route.path_prefix.clone()?, route.name.clone())));
-        RoutePlanner { by_model: models.collect(), by_prefix: prefixes.collect() }
+        RouteIndex { by_model: models.collect(), by_prefix: prefixes.collect() }
     }
 
     /// Returns the route for `query`: the route of the model, or the one with the longest path prefix
@@ -36,12 +36,12 @@
     /// A prefix matches whole segments: `/bookings` matches `/bookings/7` but not `/bookings2`.
     ///
     /// ```
-    /// use cuminramp_routes::{Configuration, RoutePlanner, RouteQuery};
+    /// use cuminramp_routes::{Configuration, RouteIndex, RouteQuery};
     /// let configuration = Configuration::default();
-    /// let planner = RoutePlanner::new(&configuration);
-    /// assert!(planner.plan(&configuration, RouteQuery::Model("m")).is_none());
+    /// let index = RouteIndex::new(&configuration);
+    /// assert!(index.find(&configuration, RouteQuery::Model("m")).is_none());
     /// ```
-    pub fn plan<'c>(
+    pub fn find<'c>(
         &self,
         configuration: &'c Configuration,
         query: RouteQuery<'_>,
--- a/crates/cuminramp-routes/src/index/tests.rs
+++ b/crates/cuminramp-routes/src/index/tests.rs
@@ -1,6 +1,6 @@
 use test_case::test_case;
 
-use super::{RoutePlanner, RouteQuery};
+use super::{RouteIndex, RouteQuery};
 use crate::{Configuration, Route};
 
 fn route(name: &str, model: Option<&str>, prefix: Option<&str>) -> Route {
@@ -35,9 +35,9 @@
 #[test_case(RouteQuery::Path("/"), None)]
 fn the_most_specific_route_is_selected(query: RouteQuery<'_>, expected: Option<&str>) {
     let configuration = configuration();
-    let planner = RoutePlanner::new(&configuration);
+    let index = RouteIndex::new(&configuration);
 
-    let planned = planner.plan(&configuration, query);
+    let found = index.find(&configuration, query);
 
-    assert_eq!(planned.map(|route| &*route.name), expected);
+    assert_eq!(found.map(|route| &*route.name), expected);
 }
--- a/crates/cuminramp-routes/src/lib.rs
+++ b/crates/cuminramp-routes/src/lib.rs
@@ -1,4 +1,4 @@
-//! Routes, pools, teams and keys as numbered generations, and the planner that matches requests to
+//! Routes, pools, teams and keys as numbered generations, and the index that matches requests to
 //! routes.
 //!
 //! Operators write [`Declarations`]. Their differences from the generation in force become a change
@@ -19,5 +19,5 @@
     Charge, DeclarationError, Declarations, Pool, PoolKind, Route, Target, Team, parse_declarations,
 };
 pub use generation_log::{CatchUp, GenerationLog};
-pub use index::{RoutePlanner, RouteQuery};
+pub use index::{RouteIndex, RouteQuery};
 pub use withdrawals::WithdrawalSet;
--- a/crates/cuminramp-routes/src/withdrawals.rs
+++ b/crates/cuminramp-routes/src/withdrawals.rs
@@ -44,7 +44,7 @@
     }
 
     /// Removes the digests for which `written` returns true: their withdrawal is in the table.
-    pub fn retain_unwritten(&mut self, written: impl Fn(&KeyDigest) -> bool) {
+    pub fn remove_written(&mut self, written: impl Fn(&KeyDigest) -> bool) {
         self.digests.retain(|digest| !written(digest));
     }
 
--- a/crates/cuminramp-standin/src/memory_platform.rs
+++ b/crates/cuminramp-standin/src/memory_platform.rs
@@ -8,7 +8,7 @@
 use cuminramp_core::{Name, RandomSource, SeededRandom, SortedMap};
 use cuminramp_platform::{
     CommitOutcome, HostEntry, HostList, ObjectStore, Row, RowChange, StoreError, TableSnapshot,
-    TableStore, Transaction, Version, WatchAnswer, WatchedTable,
+    TableStore, Transaction, Version, WatchResponse, WatchedTable,
 };
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
@@ -225,16 +225,16 @@
         Some(Row { key: key.into(), value: stored.value.clone(), version: stored.version })
     }
 
-    fn changes_after(&self, prefix: &str, after: Version) -> Result<WatchAnswer, StoreError> {
+    fn changes_after(&self, prefix: &str, after: Version) -> Result<WatchResponse, StoreError> {
         if self.faults.down || self.faults.table_down {
             return Err(refused());
         }
         if after < self.forgotten {
-            return Ok(WatchAnswer::HistoryLost);
+            return Ok(WatchResponse::HistoryLost);
         }
         let newer = self.history.iter().filter(|change| change.row.version > after);
         let of_table = newer.filter(|change| change.row.key.starts_with(prefix));
-        Ok(WatchAnswer::Changes { changes: of_table.cloned().collect(), version: self.version })
+        Ok(WatchResponse::Changes { changes: of_table.cloned().collect(), version: self.version })
     }
 
     fn conflicts(&self, transaction: &Transaction) -> Vec<String> {
@@ -332,14 +332,14 @@
         table: &str,
         after: Version,
         wait: Duration,
-    ) -> Result<WatchAnswer, StoreError> {
+    ) -> Result<WatchResponse, StoreError> {
         let prefix = format!("{table}/");
         let until = Instant::now() + wait;
         let mut committed = self.committed.subscribe();
         loop {
             let answer = self.lock().changes_after(&prefix, after)?;
             let is_empty =
-                matches!(&answer, WatchAnswer::Changes { changes, .. } if changes.is_empty());
+                matches!(&answer, WatchResponse::Changes { changes, .. } if changes.is_empty());
             if !is_empty || tokio::time::timeout_at(until, committed.changed()).await.is_err() {
                 return Ok(answer);
             }
--- a/tests/testsuite/tests/testsuite/support.rs
+++ b/tests/testsuite/tests/testsuite/support.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use cuminramp_daemon::{Daemon, DaemonAddresses, PlatformInterfaces};
-use cuminramp_http::{CallLimits, HttpClient, read_body};
+use cuminramp_http::{CallTimeouts, HttpClient, read_body};
 use cuminramp_settings::{DaemonSettings, parse_settings};
 use cuminramp_standin::{
     Engine, EngineSettings, FaultyLink, MemoryPlatform, PlatformFaults, PlatformSettings,
@@ -197,7 +197,7 @@
             }
             (platform, engines)
         });
-        let limits = CallLimits { connect: CALL_LIMIT, first_byte: CALL_LIMIT };
+        let limits = CallTimeouts { connect: CALL_LIMIT, first_byte: CALL_LIMIT };
         Fleet {
             runtime,
             platform,
