--- a/crates/cuminramp-daemon/src/admission.rs
+++ b/crates/cuminramp-daemon/src/admission.rs
@@ -166,7 +166,7 @@
 }
 
 /// Applies the handover of a shard's tokens from its previous owner.
-pub(crate) fn take_tokens(state: &DaemonState, handover: &Handover) {
+pub(crate) fn apply_handover(state: &DaemonState, handover: &Handover) {
     let in_force = state.configuration.in_force();
     let limits_of = |name: &str| {
         let team = in_force.configuration.teams.get(name)?;
--- a/crates/cuminramp-daemon/src/batch/claims.rs
+++ b/crates/cuminramp-daemon/src/batch/claims.rs
@@ -98,7 +98,7 @@
     tracked: &mut Vec<Arc<TrackedJob>>,
 ) -> Result<(), StoreError> {
     let rows = state.platform.table.scan("open/", "", MAX_OPEN_JOBS).await?;
-    state.note_table(Instant::now());
+    state.record_table_contact(Instant::now());
     let is_open = |job: &TrackedJob| {
         let key = open_job_key(&job.id);
         rows.iter().any(|row| row.key == key && row.version == job.open_version)
--- a/crates/cuminramp-daemon/src/batch/jobs.rs
+++ b/crates/cuminramp-daemon/src/batch/jobs.rs
@@ -11,7 +11,7 @@
 
 use crate::batch::results::write_manifest;
 use crate::batch::{layout_name, team_job_key};
-use crate::entry::files::{content_digits, file_object, find_file, store_refusal, unix_now};
+use crate::entry::files::{content_id, file_object, find_file, store_refusal, unix_now};
 use crate::state::DaemonState;
 
 /// Prefix of job identifiers.
@@ -46,7 +46,7 @@
             metadata.as_bytes(),
             self.idempotency_key.as_bytes(),
         ];
-        format!("{JOB_PREFIX}{}", content_digits(&parts))
+        format!("{JOB_PREFIX}{}", content_id(&parts))
     }
 
     fn metadata_text(&self) -> String {
--- a/crates/cuminramp-daemon/src/batch/runner.rs
+++ b/crates/cuminramp-daemon/src/batch/runner.rs
@@ -19,7 +19,7 @@
 use crate::batch::windows::{RunningItem, batch_owner_of, owns_any_batch};
 use crate::dispatch::{AttemptResult, TargetLease, start_attempt};
 use crate::entry::chat::chat_request;
-use crate::interfaces::TargetAnswer;
+use crate::interfaces::TargetResponse;
 use crate::state::{DaemonState, lock};
 
 /// Maximum interval between two updates of the windows while there is batch work.
@@ -221,7 +221,7 @@
     let timeout = state.settings.batch.item_timeout();
     let deadline = Instant::now() + timeout;
     match start_attempt(state, lease, chat_request(body), timeout, deadline).await {
-        AttemptResult::Answered(answer) => read_answer(state, lease, answer, deadline).await,
+        AttemptResult::Answered(response) => read_response(state, lease, response, deadline).await,
         AttemptResult::Failed(failure) => match failure.stage {
             _ if failure.is_crash => ItemEnd::Crashed,
             FailureStage::NotSent | FailureStage::Refused => ItemEnd::NotRun,
@@ -231,15 +231,15 @@
 }
 
 /// Reads an answer's body to its end, within the deadline and the size limit.
-async fn read_answer(
+async fn read_response(
     state: &DaemonState,
     lease: &TargetLease,
-    mut answer: TargetAnswer,
+    mut response: TargetResponse,
     deadline: Instant,
 ) -> ItemEnd {
     let mut content = BytesMut::new();
     loop {
-        match tokio::time::timeout_at(deadline, answer.body.next()).await {
+        match tokio::time::timeout_at(deadline, response.body.next()).await {
             Ok(Some(Ok(bytes)))
                 if content.len() + bytes.len() <= state.settings.limits.max_answer_bytes =>
             {
@@ -247,19 +247,19 @@
             }
             Ok(Some(Ok(_))) => return ItemEnd::Failed,
             Ok(Some(Err(_))) => {
-                lease.note(AttemptEnd::Failed);
+                lease.record_outcome(AttemptEnd::Failed);
                 return ItemEnd::Crashed;
             }
             Ok(None) => break,
             Err(_) => {
-                lease.note(AttemptEnd::Silent);
+                lease.record_outcome(AttemptEnd::Silent);
                 return ItemEnd::Failed;
             }
         }
     }
     match serde_json::from_slice::<Value>(&content) {
         Ok(body) => {
-            ItemEnd::Answered(ItemOutcome::Answered { status: answer.status.as_u16(), body })
+            ItemEnd::Answered(ItemOutcome::Answered { status: response.status.as_u16(), body })
         }
         Err(_) => ItemEnd::Failed,
     }
--- a/crates/cuminramp-daemon/src/batch/windows.rs
+++ b/crates/cuminramp-daemon/src/batch/windows.rs
@@ -103,7 +103,7 @@
 
     /// Closes the windows of engines that online work is being sent to, and cancels the batch items that
     /// run there, as they would slow the online work. Engines without a window on this host are left out.
-    pub(crate) fn note_online(&self, targets: &[Name], now: Instant) {
+    pub(crate) fn preempt_for_online(&self, targets: &[Name], now: Instant) {
         let mut engines = lock(&self.engines);
         for target in targets {
             let Some(engine) = engines.get_mut(&**target) else {
@@ -125,7 +125,7 @@
 
     /// Returns the targets of a pool that online work should prefer, so that batch has the others;
     /// `None` while no job is open, when online work uses all targets.
-    pub(crate) fn pack_online(
+    pub(crate) fn preferred_online_targets(
         &self,
         state: &DaemonState,
         pool: &Name,
@@ -149,13 +149,13 @@
 
     /// Reports online work on a target to the target's batch owner, at most once per half of the yield
     /// time.
-    pub(crate) fn announce_online(&self, state: &Arc<DaemonState>, target: &Name) {
+    pub(crate) fn report_online(&self, state: &Arc<DaemonState>, target: &Name) {
         let now = Instant::now();
         let Some(batch_owner) = batch_owner_of(state, target) else {
             return;
         };
         if batch_owner == state.me.id.address {
-            return self.note_online(std::slice::from_ref(target), now);
+            return self.preempt_for_online(std::slice::from_ref(target), now);
         }
         let interval = self.policy.online_cooldown / 2;
         {
--- a/crates/cuminramp-daemon/src/daemon.rs
+++ b/crates/cuminramp-daemon/src/daemon.rs
@@ -20,7 +20,7 @@
 use tokio_util::task::TaskTracker;
 
 use crate::batch::{BatchState, release_chunks, run_claims, run_items};
-use crate::dispatch::{HttpTargets, PoolQueues, SilenceBoard, pump_queues};
+use crate::dispatch::{HttpTargets, PoolQueues, SilenceSignals, wake_waiting_requests};
 use crate::interfaces::PlatformInterfaces;
 use crate::marks::{MarkWriter, run_marks};
 use crate::metrics::DaemonMetrics;
@@ -236,7 +236,7 @@
     let retries = &settings.retries;
     Ok(DaemonState {
         peers: Arc::new(TarpcPeers::new(settings.peers.call_timeout())),
-        caller: Arc::new(HttpTargets::new(timeouts)),
+        target_caller: Arc::new(HttpTargets::new(timeouts)),
         configuration: ConfigurationStore::new(settings.configuration.log_generations),
         ledger: QuotaLedger::new(me.id.clone(), ledger_policy(&settings), now).into(),
         split: StaticSplit::new().into(),
@@ -246,7 +246,7 @@
             ttl: settings.steering.keep(),
         },
         targets: TargetTable::new(target_policy(&settings)).into(),
-        silence: SilenceBoard::default(),
+        silence_signals: SilenceSignals::default(),
         crashes: CrashTable::new(retries.quarantine_after, retries.quarantine()).into(),
         budget: RetryBudget::new(retries.budget_share, retries.budget_burst).into(),
         queues: PoolQueues::default(),
@@ -360,7 +360,7 @@
     spawn_loop(state, tick_ledger(state.clone()));
     spawn_loop(state, sync_targets(state.clone()));
     spawn_loop(state, poll_loads(state.clone()));
-    spawn_loop(state, pump_queues(state.clone()));
+    spawn_loop(state, wake_waiting_requests(state.clone()));
     spawn_loop(state, run_marks(state.clone()));
     if state.settings.batch.enabled {
         spawn_loop(state, run_claims(state.clone()));
--- a/crates/cuminramp-daemon/src/dispatch/attempt.rs
+++ b/crates/cuminramp-daemon/src/dispatch/attempt.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::interfaces::{TargetAnswer, TargetRequest};
+use crate::interfaces::{TargetRequest, TargetResponse};
 use crate::state::{DaemonState, lock};
 
 /// Cancels attempts whose target has become silent.
@@ -20,17 +20,17 @@
 /// distinguish a slow target from a silent one. Polling for load reports can, since a silent target
 /// doesn't answer the polls. Without this signal a caller would wait until its deadline.
 #[derive(Default)]
-pub(crate) struct SilenceBoard {
+pub(crate) struct SilenceSignals {
     tokens: Mutex<SortedMap<Name, CancellationToken>>,
 }
 
-impl SilenceBoard {
+impl SilenceSignals {
     fn token_for(&self, target: &Name) -> CancellationToken {
         lock(&self.tokens).get_or_insert_with(target.clone(), CancellationToken::new).clone()
     }
 
     /// Cancels the attempts that are running on a target. Later attempts get a new token.
-    pub(crate) fn note_silent(&self, target: &str) {
+    pub(crate) fn cancel_attempts(&self, target: &str) {
         if let Some(token) = lock(&self.tokens).remove(target) {
             token.cancel();
         }
@@ -57,20 +57,20 @@
         kind: WorkKind,
     ) -> Self {
         lock(&state.targets).on_start(&target.name, kind, Instant::now());
-        let silence_token = state.silence.token_for(&target.name);
+        let silence_token = state.silence_signals.token_for(&target.name);
         TargetLease { state: state.clone(), target, pool: pool.clone(), kind, silence_token }
     }
 
     /// Records the outcome of the attempt for outlier ejection.
     ///
     /// Connections to a silent target are dropped, since they may be dead.
-    pub(crate) fn note(&self, end: AttemptEnd) {
+    pub(crate) fn record_outcome(&self, end: AttemptEnd) {
         let ejected = lock(&self.state.targets).on_outcome(&self.target.name, end, Instant::now());
         if ejected {
             log::info!(target_name = &*self.target.name, decision = "set-aside"; "target");
         }
         if end == AttemptEnd::Silent {
-            self.state.caller.drop_connections(&self.target.address);
+            self.state.target_caller.drop_connections(&self.target.address);
         }
     }
 }
@@ -87,7 +87,7 @@
 /// Result of an attempt up to the head of the answer.
 pub(crate) enum AttemptResult {
     /// The target answered; the answer can be forwarded to the caller.
-    Answered(TargetAnswer),
+    Answered(TargetResponse),
     /// The attempt failed; the retry policy decides what follows.
     Failed(AttemptFailure),
 }
@@ -104,22 +104,24 @@
     let started = Instant::now();
     let remaining = deadline.saturating_duration_since(started);
     let outcome = tokio::select! {
-        outcome = state.caller.call(&lease.target.address, request, timeout.min(remaining)) => outcome,
+        outcome = state.target_caller.call(&lease.target.address, request, timeout.min(remaining)) => outcome,
         () = lease.silence_token.cancelled() => Err(CallError::TimedOut("no load report".into())),
     };
     match outcome {
-        Ok(answer) => {
-            let result = classify_answer(answer);
+        Ok(response) => {
+            let result = classify_response(response);
             match &result {
-                AttemptResult::Answered(_) => lease.note(AttemptEnd::Answered(started.elapsed())),
-                AttemptResult::Failed(_) => lease.note(AttemptEnd::Failed),
+                AttemptResult::Answered(_) => {
+                    lease.record_outcome(AttemptEnd::Answered(started.elapsed()))
+                }
+                AttemptResult::Failed(_) => lease.record_outcome(AttemptEnd::Failed),
             }
             result
         }
         Err(error) => {
             // If the request's own deadline came first, nothing is known about the target's health.
             let deadline_first = remaining < timeout && !lease.silence_token.is_cancelled();
-            lease.note(match error {
+            lease.record_outcome(match error {
                 CallError::TimedOut(_) if deadline_first => AttemptEnd::Abandoned,
                 CallError::TimedOut(_) => AttemptEnd::Silent,
                 _ => AttemptEnd::Failed,
@@ -144,11 +146,11 @@
 ///
 /// With 429 and 503 the target reports that it did not start the request, with any other 5xx that it
 /// failed. Every other status is the caller's answer.
-fn classify_answer(answer: TargetAnswer) -> AttemptResult {
-    let stage = match answer.status {
+fn classify_response(response: TargetResponse) -> AttemptResult {
+    let stage = match response.status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => FailureStage::Refused,
         status if status.is_server_error() => FailureStage::Failed,
-        _ => return AttemptResult::Answered(answer),
+        _ => return AttemptResult::Answered(response),
     };
     AttemptResult::Failed(AttemptFailure { stage, is_crash: false })
 }
--- a/crates/cuminramp-daemon/src/dispatch/mod.rs
+++ b/crates/cuminramp-daemon/src/dispatch/mod.rs
@@ -11,9 +11,9 @@
 mod relay;
 mod target_caller;
 
-pub(crate) use attempt::{AttemptResult, SilenceBoard, TargetLease, start_attempt};
+pub(crate) use attempt::{AttemptResult, SilenceSignals, TargetLease, start_attempt};
 pub(crate) use online::{OnlineRequest, dispatch_online};
-pub(crate) use queue::{PoolQueues, pump_queues};
+pub(crate) use queue::{PoolQueues, wake_waiting_requests};
 pub(crate) use target_caller::HttpTargets;
 
 use cuminramp_routes::{Pool, Target};
--- a/crates/cuminramp-daemon/src/dispatch/online.rs
+++ b/crates/cuminramp-daemon/src/dispatch/online.rs
@@ -24,7 +24,7 @@
     ActiveRequest, BodyError, key_withdrawn_refusal, read_full_body, relay_stream,
 };
 use crate::dispatch::target_specs;
-use crate::interfaces::{TargetAnswer, TargetRequest};
+use crate::interfaces::{TargetRequest, TargetResponse};
 use crate::state::{DaemonState, lock};
 
 /// An admitted request with its route and pool.
@@ -163,13 +163,14 @@
     let started = Instant::now();
     let mut active = ActiveRequest::new(online, crash_tracker);
     loop {
-        let (lease, answer) = next_answer(state, &mut active).await?;
-        state.metrics.note_first_byte(started.elapsed().as_secs_f64());
-        if active.online.is_stream && is_event_stream(&answer.headers) {
-            return Ok(relay_stream(state.clone(), active, lease, answer));
+        let (lease, target_response) = next_response(state, &mut active).await?;
+        state.metrics.record_first_byte(started.elapsed().as_secs_f64());
+        if active.online.is_stream && is_event_stream(&target_response.headers) {
+            return Ok(relay_stream(state.clone(), active, lease, target_response));
         }
-        let (status, headers) = (answer.status, end_to_end_headers(&answer.headers));
-        match read_full_body(state, &active, &lease, answer).await {
+        let (status, headers) =
+            (target_response.status, end_to_end_headers(&target_response.headers));
+        match read_full_body(state, &active, &lease, target_response).await {
             Ok(body) => {
                 active.crash_tracker.record_success();
                 let mut response = Response::new(Body::from(body));
@@ -187,10 +188,10 @@
 }
 
 /// Makes attempts until the head of an answer arrives or the retry policy gives up.
-pub(crate) async fn next_answer(
+pub(crate) async fn next_response(
     state: &Arc<DaemonState>,
     active: &mut ActiveRequest,
-) -> Result<(TargetLease, TargetAnswer), Refusal> {
+) -> Result<(TargetLease, TargetResponse), Refusal> {
     loop {
         active.attempt += 1;
         let earlier_execution = active.earlier_execution;
@@ -201,7 +202,7 @@
         let request = active.next_request(state);
         let timeout = active.online.first_byte_timeout(state);
         match start_attempt(state, &lease, request, timeout, active.online.deadline).await {
-            AttemptResult::Answered(answer) => return Ok((lease, answer)),
+            AttemptResult::Answered(target_response) => return Ok((lease, target_response)),
             AttemptResult::Failed(failure) => {
                 drop(lease);
                 handle_failure(state, active, failure)?;
@@ -292,7 +293,7 @@
                 "route"
             );
             if online.pool.kind == PoolKind::Engines {
-                state.batch.announce_online(state, &target.name);
+                state.batch.report_online(state, &target.name);
             }
             active.crash_tracker.record_target(&target.name);
             active.tried.push(target.name.clone());
@@ -326,7 +327,7 @@
     let now = Instant::now();
     let query = ChoiceQuery { prefix: online.prefix, tried };
     let preferred = match online.pool.kind {
-        PoolKind::Engines => state.batch.pack_online(state, &online.pool.name, specs),
+        PoolKind::Engines => state.batch.preferred_online_targets(state, &online.pool.name, specs),
         PoolKind::Services => None,
     };
     let mut random = lock(&state.random);
--- a/crates/cuminramp-daemon/src/dispatch/queue.rs
+++ b/crates/cuminramp-daemon/src/dispatch/queue.rs
@@ -93,7 +93,7 @@
 ///
 /// Slots also become free without a release on this host: when the load estimated from reports decays with
 /// their age, and when ejected targets are reinstated.
-pub(crate) async fn pump_queues(state: Arc<DaemonState>) {
+pub(crate) async fn wake_waiting_requests(state: Arc<DaemonState>) {
     loop {
         tokio::time::sleep(WAKE_INTERVAL).await;
         for pool in state.queues.waiting_pools() {
--- a/crates/cuminramp-daemon/src/dispatch/relay.rs
+++ b/crates/cuminramp-daemon/src/dispatch/relay.rs
@@ -16,10 +16,10 @@
 use crate::dispatch::attempt::TargetLease;
 use crate::dispatch::events::{EventKind, EventParser, StreamEvent};
 use crate::dispatch::online::{
-    CrashTracker, OnlineRequest, handle_failure, next_answer, partial_failure, resumed_request,
+    CrashTracker, OnlineRequest, handle_failure, next_response, partial_failure, resumed_request,
 };
 use crate::entry::error_body;
-use crate::interfaces::{TargetAnswer, TargetRequest};
+use crate::interfaces::{TargetRequest, TargetResponse};
 use crate::state::DaemonState;
 
 /// Maximum number of events that are buffered for a slow caller. While the buffer is full, the target's
@@ -82,7 +82,7 @@
     state: &DaemonState,
     active: &ActiveRequest,
     lease: &TargetLease,
-    mut answer: TargetAnswer,
+    mut target_response: TargetResponse,
 ) -> Result<Bytes, BodyError> {
     let mut collected = BytesMut::new();
     let withdrawal = wait_for_key_withdrawal(state, active.online.key);
@@ -90,7 +90,7 @@
     loop {
         let deadline = progress_deadline(state, active);
         let part = tokio::select! {
-            part = tokio::time::timeout_at(deadline, answer.body.next()) => part,
+            part = tokio::time::timeout_at(deadline, target_response.body.next()) => part,
             () = lease.silence_token.cancelled() => return Err(BodyError::Failed(partial_failure(0, false))),
             () = &mut withdrawal => return Err(BodyError::KeyWithdrawn),
         };
@@ -103,11 +103,11 @@
             }
             Ok(Some(Ok(_))) => return Err(BodyError::Failed(partial_failure(0, false))),
             Ok(Some(Err(_))) => {
-                lease.note(AttemptEnd::Failed);
+                lease.record_outcome(AttemptEnd::Failed);
                 return Err(BodyError::Failed(partial_failure(0, true)));
             }
             Err(_) => {
-                lease.note(AttemptEnd::Silent);
+                lease.record_outcome(AttemptEnd::Silent);
                 return Err(BodyError::Failed(partial_failure(0, false)));
             }
         }
@@ -139,13 +139,13 @@
     state: Arc<DaemonState>,
     active: ActiveRequest,
     lease: TargetLease,
-    answer: TargetAnswer,
+    target_response: TargetResponse,
 ) -> Response {
     let (sender, receiver) = mpsc::channel(MAX_BUFFERED_EVENTS);
     let tasks = state.tasks.clone();
     tasks.spawn(async move {
         let mut relay = StreamRelay { state, active, sender };
-        relay.run(lease, answer).await;
+        relay.run(lease, target_response).await;
     });
     let events = ReceiverStream::new(receiver).map(Ok::<Bytes, std::convert::Infallible>);
     let mut response = Response::new(Body::from_stream(events));
@@ -185,10 +185,10 @@
     ///
     /// If a target fails, another one resumes the answer at the same token. If none can, the caller
     /// receives an error event and no `[DONE]`.
-    async fn run(&mut self, lease: TargetLease, answer: TargetAnswer) {
-        let (mut lease, mut answer) = (lease, answer);
+    async fn run(&mut self, lease: TargetLease, target_response: TargetResponse) {
+        let (mut lease, mut target_response) = (lease, target_response);
         loop {
-            let end = self.forward_events(&lease, answer).await;
+            let end = self.forward_events(&lease, target_response).await;
             drop(lease);
             let failure = match end {
                 StreamEnd::Complete => return self.active.crash_tracker.record_success(),
@@ -197,11 +197,11 @@
                 StreamEnd::Failed(failure) => failure,
             };
             let next = match handle_failure(&self.state, &mut self.active, failure) {
-                Ok(()) => next_answer(&self.state, &mut self.active).await,
+                Ok(()) => next_response(&self.state, &mut self.active).await,
                 Err(refusal) => Err(refusal),
             };
             match next {
-                Ok(resumed) => (lease, answer) = resumed,
+                Ok(resumed) => (lease, target_response) = resumed,
                 Err(refusal) => {
                     return self.send_error(refusal.with_execution(Execution::Ran)).await;
                 }
@@ -210,7 +210,11 @@
     }
 
     /// Forwards the events of one target until the stream ends.
-    async fn forward_events(&mut self, lease: &TargetLease, mut answer: TargetAnswer) -> StreamEnd {
+    async fn forward_events(
+        &mut self,
+        lease: &TargetLease,
+        mut target_response: TargetResponse,
+    ) -> StreamEnd {
         let mut parser = EventParser::default();
         let state = self.state.clone();
         let withdrawal = wait_for_key_withdrawal(&state, self.active.online.key);
@@ -218,7 +222,7 @@
         loop {
             let deadline = progress_deadline(&self.state, &self.active);
             let part = tokio::select! {
-                part = tokio::time::timeout_at(deadline, answer.body.next()) => part,
+                part = tokio::time::timeout_at(deadline, target_response.body.next()) => part,
                 () = self.sender.closed() => return StreamEnd::CallerDisconnected,
                 () = lease.silence_token.cancelled() => {
                     return StreamEnd::Failed(partial_failure(self.active.delivered_tokens, false));
@@ -235,11 +239,11 @@
                     }
                 }
                 Ok(Some(Err(_)) | None) => {
-                    lease.note(AttemptEnd::Failed);
+                    lease.record_outcome(AttemptEnd::Failed);
                     return StreamEnd::Failed(partial_failure(self.active.delivered_tokens, true));
                 }
                 Err(_) => {
-                    lease.note(AttemptEnd::Silent);
+                    lease.record_outcome(AttemptEnd::Silent);
                     return StreamEnd::Failed(partial_failure(self.active.delivered_tokens, false));
                 }
             }
--- a/crates/cuminramp-daemon/src/dispatch/target_caller.rs
+++ b/crates/cuminramp-daemon/src/dispatch/target_caller.rs
@@ -10,7 +10,7 @@
 use http::Request;
 use http_body_util::{BodyStream, Full};
 
-use crate::interfaces::{TargetAnswer, TargetBody, TargetCaller, TargetRequest};
+use crate::interfaces::{TargetCaller, TargetRequest, TargetResponse, TargetResponseBody};
 use crate::state::lock;
 
 /// HTTP client for targets.
@@ -44,15 +44,15 @@
         &self,
         address: &str,
         request: TargetRequest,
-        first_byte: Duration,
-    ) -> Result<TargetAnswer, CallError> {
+        first_byte_timeout: Duration,
+    ) -> Result<TargetResponse, CallError> {
         let mut outgoing = Request::builder()
             .method(request.method)
             .uri(format!("http://{address}{}", request.path))
             .body(Full::new(request.body))
             .map_err(|error| CallError::NotSent(error.to_string()))?;
         *outgoing.headers_mut() = request.headers;
-        let response = self.client(address).send_within(outgoing, first_byte).await?;
+        let response = self.client(address).send_within(outgoing, first_byte_timeout).await?;
         let (head, body) = response.into_parts();
         let frames = BodyStream::new(body).filter_map(|frame| async move {
             match frame {
@@ -60,8 +60,8 @@
                 Err(error) => Some(Err(CallError::Broken(error.to_string()))),
             }
         });
-        let body: TargetBody = Box::pin(frames);
-        Ok(TargetAnswer { status: head.status, headers: head.headers, body })
+        let body: TargetResponseBody = Box::pin(frames);
+        Ok(TargetResponse { status: head.status, headers: head.headers, body })
     }
 
     fn drop_connections(&self, address: &str) {
--- a/crates/cuminramp-daemon/src/entry/calls.rs
+++ b/crates/cuminramp-daemon/src/entry/calls.rs
@@ -20,7 +20,7 @@
 use crate::entry::chat::{RequestAttributes, build_online_request, find_route, saved_answer};
 use crate::entry::responses::respond;
 use crate::interfaces::TargetRequest;
-use crate::marks::{MarkDecision, MarkEnd, StartedMark, begin_marked};
+use crate::marks::{MarkDecision, MarkEnd, StartedMark, start_marked};
 use crate::state::DaemonState;
 
 /// Header with the key that distinguishes a retry from a new request.
@@ -99,7 +99,7 @@
         let message = format!("Idempotency-Key must have 1 to {MAX_KEY_CHARS} characters");
         return Err(Refusal::not_run(ResultCode::FieldInvalid, message));
     }
-    match begin_marked(state, &online.team.name, key, online.request.content_hash()).await? {
+    match start_marked(state, &online.team.name, key, online.request.content_hash()).await? {
         MarkDecision::Answered(row) => Ok(saved_answer(row.status, &row.content_type, row.answer)),
         MarkDecision::Run(mark) => {
             // The request continues if its caller disconnects, since its outcome has to be written to the
@@ -125,7 +125,9 @@
         Ok(response) => save_answer(state, response, mark).await,
         Err(refusal) => {
             let not_run = refusal.execution == Execution::NotRun;
-            state.marks.finish(mark, if not_run { MarkEnd::NotRun } else { MarkEnd::Unkept });
+            state
+                .marks
+                .finish(mark, if not_run { MarkEnd::NotRun } else { MarkEnd::AnswerNotStored });
             Err(refusal)
         }
     }
@@ -142,7 +144,7 @@
     let max_bytes = state.settings.marks.max_kept_bytes as u64;
     let size = http_body::Body::size_hint(response.body()).exact();
     if size.is_none_or(|size| size > max_bytes) {
-        state.marks.finish(mark, MarkEnd::Unkept);
+        state.marks.finish(mark, MarkEnd::AnswerNotStored);
         return Ok(response);
     }
     let (head, body) = response.into_parts();
--- a/crates/cuminramp-daemon/src/entry/files.rs
+++ b/crates/cuminramp-daemon/src/entry/files.rs
@@ -55,7 +55,7 @@
 /// Returns [`ID_DIGITS`] hexadecimal digits of a hash of the parts. Equal parts give equal digits.
 ///
 /// The length of each part is hashed too, so moving bytes from one part to the next changes the digits.
-pub(crate) fn content_digits(parts: &[&[u8]]) -> String {
+pub(crate) fn content_id(parts: &[&[u8]]) -> String {
     let mut hasher = Sha256::new();
     for part in parts {
         hasher.update((part.len() as u64).to_be_bytes());
@@ -89,7 +89,7 @@
     let upload = read_upload(state, request).await?;
     let team = &caller.team.name;
     // The identifier is derived from the content, so uploading a file again gives the same identifier.
-    let digits = content_digits(&[team.as_bytes(), upload.purpose.as_bytes(), &upload.content]);
+    let digits = content_id(&[team.as_bytes(), upload.purpose.as_bytes(), &upload.content]);
     let row = FileRow {
         id: format!("{FILE_PREFIX}{digits}"),
         team: team.to_string(),
--- a/crates/cuminramp-daemon/src/interfaces.rs
+++ b/crates/cuminramp-daemon/src/interfaces.rs
@@ -50,28 +50,28 @@
 }
 
 /// Body of an answer as a stream of chunks; an error ends it.
-pub type TargetBody = Pin<Box<dyn Stream<Item = Result<Bytes, CallError>> + Send>>;
+pub type TargetResponseBody = Pin<Box<dyn Stream<Item = Result<Bytes, CallError>> + Send>>;
 
 /// Answer of a target: status, headers and the stream of its body.
-pub struct TargetAnswer {
+pub struct TargetResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
     pub headers: HeaderMap,
     /// Body; dropping it cancels the request on the target.
-    pub body: TargetBody,
+    pub body: TargetResponseBody,
 }
 
 /// Calls targets.
 #[async_trait]
 pub trait TargetCaller: Send + Sync {
-    /// Sends a request to `address` and waits up to `first_byte` for the head of the answer.
+    /// Sends a request to `address` and waits up to `first_byte_timeout` for the head of the answer.
     async fn call(
         &self,
         address: &str,
         request: TargetRequest,
-        first_byte: Duration,
-    ) -> Result<TargetAnswer, CallError>;
+        first_byte_timeout: Duration,
+    ) -> Result<TargetResponse, CallError>;
 
     /// Drops all connections to `address`, after a target there stopped answering.
     fn drop_connections(&self, address: &str);
--- a/crates/cuminramp-daemon/src/lib.rs
+++ b/crates/cuminramp-daemon/src/lib.rs
@@ -26,6 +26,6 @@
 
 pub use daemon::{Daemon, DaemonAddresses, StartError};
 pub use interfaces::{
-    PeerCaller, PlatformInterfaces, TargetAnswer, TargetBody, TargetCaller, TargetRequest,
+    PeerCaller, PlatformInterfaces, TargetCaller, TargetRequest, TargetResponse, TargetResponseBody,
 };
 pub use logging::{BoundedOutput, start_logging};
--- a/crates/cuminramp-daemon/src/marks.rs
+++ b/crates/cuminramp-daemon/src/marks.rs
@@ -109,7 +109,7 @@
             MarkEnd::Answered { status, content_type, answer } => {
                 MarkRow { finished: true, status, content_type, answer, ..row }
             }
-            MarkEnd::Unkept => MarkRow { finished: true, ..row },
+            MarkEnd::AnswerNotStored => MarkRow { finished: true, ..row },
             MarkEnd::NotRun => MarkRow { not_run: true, ..row },
         };
         let _ = self.ends.send(PendingEnd { key, row, version });
@@ -128,7 +128,7 @@
         answer: Vec<u8>,
     },
     /// The request ran or may have run; its answer is not stored.
-    Unkept,
+    AnswerNotStored,
     /// The request certainly did not run, so a resend may run.
     NotRun,
 }
@@ -143,7 +143,7 @@
 ///
 /// Refuses the request if the table is unavailable, if the key was used for a different request, or if
 /// the request was started before and has no stored answer.
-pub(crate) async fn begin_marked(
+pub(crate) async fn start_marked(
     state: &DaemonState,
     team: &Name,
     idempotency_key: &str,
@@ -154,7 +154,7 @@
     let key = format!("mark/{team}/{hex}");
     let row = MarkRow {
         team: team.to_string(),
-        key: state.writer_mark(),
+        key: state.unique_writer_id(),
         host: state.me.id.address.to_string(),
         host_incarnation: state.me.id.incarnation,
         body_hash,
--- a/crates/cuminramp-daemon/src/metrics.rs
+++ b/crates/cuminramp-daemon/src/metrics.rs
@@ -84,7 +84,7 @@
         self.peer_calls.add(1, &[KeyValue::new("call", call)]);
     }
 
-    pub(crate) fn note_first_byte(&self, seconds: f64) {
+    pub(crate) fn record_first_byte(&self, seconds: f64) {
         self.first_byte.record(seconds, &[]);
     }
 
--- a/crates/cuminramp-daemon/src/peer/server.rs
+++ b/crates/cuminramp-daemon/src/peer/server.rs
@@ -18,7 +18,7 @@
 use tokio_serde::formats::Bincode;
 use tokio_util::codec::LengthDelimitedCodec;
 
-use crate::admission::{lend_tokens, take_tokens};
+use crate::admission::{apply_handover, lend_tokens};
 use crate::peer::MAX_FRAME_BYTES;
 use crate::peer::probing::{handle_probe, probe_on_behalf};
 use crate::state::{DaemonState, lock};
@@ -51,7 +51,7 @@
     }
 
     async fn hand_over(self, _: Context, request: Encoded<Handover>) {
-        take_tokens(&self.state, &request.0);
+        apply_handover(&self.state, &request.0);
     }
 
     async fn report_crash(self, _: Context, request: Encoded<CrashReport>) {
@@ -65,7 +65,7 @@
     async fn yield_targets(self, _: Context, request: Encoded<YieldNotice>) {
         let targets: Vec<Name> =
             request.0.targets.iter().map(|name| name.as_str().into()).collect();
-        self.state.batch.note_online(&targets, Instant::now());
+        self.state.batch.preempt_for_online(&targets, Instant::now());
     }
 }
 
--- a/crates/cuminramp-daemon/src/state.rs
+++ b/crates/cuminramp-daemon/src/state.rs
@@ -14,7 +14,7 @@
 use tokio_util::task::TaskTracker;
 
 use crate::batch::BatchState;
-use crate::dispatch::{PoolQueues, SilenceBoard};
+use crate::dispatch::{PoolQueues, SilenceSignals};
 use crate::interfaces::{PeerCaller, PlatformInterfaces, TargetCaller};
 use crate::marks::MarkWriter;
 use crate::metrics::DaemonMetrics;
@@ -33,14 +33,14 @@
     pub(crate) me: Host,
     pub(crate) platform: PlatformInterfaces,
     pub(crate) peers: Arc<dyn PeerCaller>,
-    pub(crate) caller: Arc<dyn TargetCaller>,
+    pub(crate) target_caller: Arc<dyn TargetCaller>,
     pub(crate) configuration: ConfigurationStore,
     pub(crate) ledger: Mutex<QuotaLedger>,
     pub(crate) split: Mutex<StaticSplit>,
     pub(crate) members: Mutex<MemberTable>,
     pub(crate) steering: SteeringPlanner,
     pub(crate) targets: Mutex<TargetTable>,
-    pub(crate) silence: SilenceBoard,
+    pub(crate) silence_signals: SilenceSignals,
     pub(crate) crashes: Mutex<CrashTable>,
     pub(crate) budget: Mutex<RetryBudget>,
     pub(crate) queues: PoolQueues,
@@ -68,7 +68,7 @@
     }
 
     /// Returns an id for a write that no other write has, on this host or another.
-    pub(crate) fn writer_mark(&self) -> String {
+    pub(crate) fn unique_writer_id(&self) -> String {
         format!("{}/{}/{}", self.me.id.address, self.me.id.incarnation, self.next_number())
     }
 
@@ -88,7 +88,7 @@
 
 impl DaemonState {
     /// Records that the table answered this host at `at`.
-    pub(crate) fn note_table(&self, at: Instant) {
+    pub(crate) fn record_table_contact(&self, at: Instant) {
         self.contact.record(at);
         self.own_contact.record(at);
     }
--- a/crates/cuminramp-daemon/src/sync/configuration.rs
+++ b/crates/cuminramp-daemon/src/sync/configuration.rs
@@ -164,7 +164,7 @@
 pub(crate) async fn read_head(state: &DaemonState) -> Result<VersionedHead, StoreError> {
     let requested_at = Instant::now();
     let rows = state.platform.table.read(&[HEAD_KEY.to_owned()]).await?;
-    state.note_table(requested_at);
+    state.record_table_contact(requested_at);
     let Some(found) = rows.into_iter().next().flatten() else {
         return Ok(VersionedHead::default());
     };
--- a/crates/cuminramp-daemon/src/sync/publisher.rs
+++ b/crates/cuminramp-daemon/src/sync/publisher.rs
@@ -56,7 +56,7 @@
     if head.generation != expected {
         return Err(PublishError::Conflict { generation: head.generation, difference: Vec::new() });
     }
-    let set = ChangeSet { generation: expected + 1, writer: state.writer_mark(), changes };
+    let set = ChangeSet { generation: expected + 1, writer: state.unique_writer_id(), changes };
     check_changes(state, &set)?;
     let next = HeadRow { generation: set.generation, writer: set.writer.clone(), ..head };
     let transaction = Transaction::default().put_at(HEAD_KEY, version, encode_row(&next)).put_at(
--- a/crates/cuminramp-daemon/src/sync/shards.rs
+++ b/crates/cuminramp-daemon/src/sync/shards.rs
@@ -109,7 +109,7 @@
             break;
         }
     }
-    state.note_table(requested_at);
+    state.record_table_contact(requested_at);
     let rows = rows.into_iter().filter_map(|row| {
         Some(VersionedShard { row: decode_row(&row.value).ok()?, version: row.version })
     });
--- a/crates/cuminramp-daemon/src/sync/targets.rs
+++ b/crates/cuminramp-daemon/src/sync/targets.rs
@@ -92,8 +92,8 @@
     }
     *count = 0;
     let ejected = lock(&state.targets).on_outcome(&target.name, AttemptEnd::Silent, Instant::now());
-    state.caller.drop_connections(&target.address);
-    state.silence.note_silent(&target.name);
+    state.target_caller.drop_connections(&target.address);
+    state.silence_signals.cancel_attempts(&target.name);
     if ejected {
         log::info!(target_name = &*target.name, reason = "no load report", decision = "set-aside"; "target");
     }
@@ -104,8 +104,8 @@
 async fn poll_load(state: &DaemonState, target: &Target) -> bool {
     let requested_at = Instant::now();
     let outcome = tokio::time::timeout(REPORT_TIMEOUT, fetch_report(state, target)).await;
-    let Ok(Some(answer)) = outcome else { return false };
-    if let Ok(body) = serde_json::from_slice::<LoadBody>(&answer) {
+    let Ok(Some(response)) = outcome else { return false };
+    if let Ok(body) = serde_json::from_slice::<LoadBody>(&response) {
         let age = Duration::from_millis(body.age_ms);
         let at = requested_at.checked_sub(age).unwrap_or(requested_at);
         let report = LoadSnapshot { requests: body.running + body.waiting, at };
@@ -123,12 +123,13 @@
         headers: HeaderMap::new(),
         body: Bytes::new(),
     };
-    let mut answer = state.caller.call(&target.address, request, REPORT_TIMEOUT).await.ok()?;
-    if !answer.status.is_success() {
+    let mut response =
+        state.target_caller.call(&target.address, request, REPORT_TIMEOUT).await.ok()?;
+    if !response.status.is_success() {
         return Some(Bytes::new());
     }
     let mut body = BytesMut::new();
-    while let Some(part) = answer.body.next().await {
+    while let Some(part) = response.body.next().await {
         body.extend_from_slice(&part.ok()?);
         if body.len() > MAX_REPORT_BYTES {
             return Some(Bytes::new());
--- a/crates/cuminramp-standin/src/faulty_link.rs
+++ b/crates/cuminramp-standin/src/faulty_link.rs
@@ -27,7 +27,7 @@
 
 /// A relay before one address.
 ///
-/// Each connection follows the mode in force. With [`FaultyLink::freeze_open`] the connections that
+/// Each connection follows the mode in force. With [`FaultyLink::freeze_open_connections`] the connections that
 /// are open go silent for good while new ones work, as when a middlebox forgets them.
 #[derive(Debug)]
 pub struct FaultyLink {
@@ -73,7 +73,7 @@
     }
 
     /// Makes every connection that is open now silent for good.
-    pub fn freeze_open(&self) {
+    pub fn freeze_open_connections(&self) {
         self.frozen.send_modify(|count| *count += 1);
     }
 }
--- a/crates/cuminramp-standin/src/memory_platform.rs
+++ b/crates/cuminramp-standin/src/memory_platform.rs
@@ -173,7 +173,7 @@
     }
 
     /// Drops the changes that watches go on from.
-    pub fn forget_history(&self) {
+    pub fn drop_history(&self) {
         let mut state = self.lock();
         state.history.clear();
         state.forgotten = state.version;
--- a/tests/testsuite/tests/testsuite/connections.rs
+++ b/tests/testsuite/tests/testsuite/connections.rs
@@ -23,7 +23,7 @@
         assert_eq!(fleet.chat(0, &format!("before {number}"), 2, true).status, StatusCode::OK);
     }
 
-    link.freeze_open();
+    link.freeze_open_connections();
 
     for number in 0..4 {
         let prompt = format!("after {number}");
@@ -40,7 +40,7 @@
     let host = fleet.add_host_behind(&link);
     fleet.wait("all know each other", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
 
-    link.freeze_open();
+    link.freeze_open_connections();
     std::thread::sleep(Duration::from_millis(500));
 
     fleet.wait("all hold each other for alive", |fleet| {
