--- a/crates/cuminramp-wire/src/encoded.rs
+++ b/crates/cuminramp-wire/src/encoded.rs
@@ -1,10 +1,12 @@
-//! Protobuf messages inside the service's own encoding.
+//! Protobuf encoding of RPC messages and of table rows.
 
 use prost::{DecodeError, Message};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A protobuf message that travels as bytes, so that fields can be added without breaking a peer
-/// of an older version, which the service's own positional encoding would.
+/// A protobuf message that is serialized as a byte string.
+///
+/// The RPC transport encodes fields by position, so a peer of an older version would fail to decode
+/// a message with an added field. Protobuf skips fields that it doesn't know.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Encoded<M>(pub M);
 
@@ -21,7 +23,7 @@
     }
 }
 
-/// The bytes of a row.
+/// Encodes a row for the platform's table.
 ///
 /// ```
 /// use cuminramp_wire::rows::HeadRow;
@@ -33,7 +35,7 @@
     row.encode_to_vec()
 }
 
-/// Reads a row back; fails where the bytes are not of that message.
+/// Decodes a row; fails if the bytes are not a valid encoding of `M`.
 pub fn decode_row<M: Message + Default>(bytes: &[u8]) -> Result<M, DecodeError> {
     M::decode(bytes)
 }
--- a/crates/cuminramp-wire/src/lib.rs
+++ b/crates/cuminramp-wire/src/lib.rs
@@ -1,14 +1,16 @@
-//! Generated messages and rows, and the service between daemons.
+//! Protobuf messages and table rows, and the RPC services between daemons and between hosts.
 //!
-//! The messages are written by `tools/generate-wire` from the `.proto` files beside this crate and
-//! committed, so that the build needs no generator. Fields are only ever added, never renumbered:
-//! daemons of two versions talk to each other while hosts are replaced one by one.
+//! `tools/generate-wire` generates the messages from the `.proto` files in this crate's `proto`
+//! folder. The generated code is committed, so that a build needs no generator.
+//!
+//! Fields are only added, never renumbered: during a rolling upgrade, daemons of two versions
+//! exchange these messages.
 
 mod encoded;
 mod fleet_service;
 mod service;
 
-/// Rows and messages of hosts that share a fleet.
+/// Rows of, and messages between, the hosts that share a fleet.
 #[allow(missing_docs)]
 pub mod fleet {
     include!("generated/cuminramp.fleet.rs");
@@ -20,7 +22,7 @@
     include!("generated/cuminramp.peer.rs");
 }
 
-/// Rows of the platform's table.
+/// Rows that are stored in the platform's table.
 #[allow(missing_docs)]
 pub mod rows {
     include!("generated/cuminramp.rows.rs");
--- a/tools/generate-wire/src/main.rs
+++ b/tools/generate-wire/src/main.rs
@@ -1,6 +1,8 @@
-//! Writes `crates/cuminramp-wire/src/generated` from `crates/cuminramp-wire/proto`.
+//! Generates `crates/cuminramp-wire/src/generated` from the `.proto` files in
+//! `crates/cuminramp-wire/proto`.
 //!
-//! Run it from the root of the repository after editing a `.proto` file, and commit what it writes.
+//! Run it from the root of the repository after a change to a `.proto` file, and commit the
+//! generated code.
 
 use std::path::Path;
 
