--- a/crates/cuminramp-http/src/client.rs
+++ b/crates/cuminramp-http/src/client.rs
@@ -1,4 +1,4 @@
-//! A pooled client that gives up on silent connections.
+//! HTTP client with a connection pool that is discarded when a call times out.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,30 +12,30 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-/// How long an unused connection stays in the pool.
-const POOL_IDLE: Duration = Duration::from_secs(10);
-/// When the kernel starts to ask whether a quiet peer is there, and how often.
-const KEEPALIVE: Duration = Duration::from_secs(5);
-/// How many of those questions may go unanswered.
+/// Time after which an unused connection is closed and removed from the pool.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Idle time before the kernel sends the first TCP keepalive probe, and the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
+/// Number of unanswered keepalive probes after which the kernel closes the connection.
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// How long the steps of one call may take.
+/// Timeouts for the steps of one call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallLimits {
-    /// Until the connection stands.
+    /// Timeout for establishing a connection.
     pub connect: Duration,
-    /// Until the head of the answer is there, counted from the start.
+    /// Timeout for receiving the response head, counted from the start of the call.
     pub first_byte: Duration,
 }
 
-/// Why a call gave no answer, distinguished by whether the other end may have acted on it.
+/// Reason why a call failed, distinguished by whether the server may have acted on the request.
 #[derive(Clone, Debug)]
 pub enum CallError {
-    /// No byte of the request left: it surely had no effect.
+    /// No byte of the request was sent, so it had no effect.
     NotSent(String),
-    /// The connection broke after bytes were sent.
+    /// The connection failed after the request may have been sent: it may have taken effect.
     Broken(String),
-    /// Nothing came back in time.
+    /// No response arrived within the timeout: the request may have taken effect.
     Silent(String),
 }
 
@@ -45,8 +45,8 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CallError::NotSent(reason) => write!(formatter, "not sent: {reason}"),
-            CallError::Broken(reason) => write!(formatter, "connection broke: {reason}"),
-            CallError::Silent(reason) => write!(formatter, "silent: {reason}"),
+            CallError::Broken(reason) => write!(formatter, "connection failed: {reason}"),
+            CallError::Silent(reason) => write!(formatter, "timed out: {reason}"),
         }
     }
 }
@@ -55,18 +55,19 @@
 
 type PooledClient = Client<HttpConnector, Full<Bytes>>;
 
-/// A client for one endpoint, with a pool of connections.
+/// HTTP client for one endpoint, with a connection pool.
 ///
-/// Something between the two ends can lose track of pooled connections: they stay open and silent
-/// for good while new ones work. One would notice that calls time out one after another until each
-/// pooled connection has been used up. So the first silent call throws the whole pool away.
+/// A middlebox (a NAT or a firewall) can lose the state of established connections: they stay open but
+/// deliver nothing, while new connections work. Calls would then time out one after another until
+/// every pooled connection had been used once. The first call that times out therefore discards the
+/// whole pool.
 pub struct HttpClient {
     limits: CallLimits,
     pool: ArcSwap<PooledClient>,
 }
 
 impl HttpClient {
-    /// A client with an empty pool.
+    /// Creates a client with an empty pool.
     ///
     /// ```
     /// use std::time::Duration;
@@ -78,7 +79,7 @@
         HttpClient { limits, pool: ArcSwap::from_pointee(open_pool(&limits)) }
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the response head for at most [`CallLimits::first_byte`].
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -86,7 +87,7 @@
         self.send_within(request, self.limits.first_byte).await
     }
 
-    /// Sends a request and waits no longer than `first_byte` for the head of the answer.
+    /// Sends a request and waits for the response head for at most `first_byte`.
     pub async fn send_within(
         &self,
         request: Request<Full<Bytes>>,
@@ -95,16 +96,16 @@
         let pool = self.pool.load_full();
         match tokio::time::timeout(first_byte, pool.request(request)).await {
             Ok(Ok(response)) => Ok(response),
-            Ok(Err(error)) if error.is_connect() => Err(CallError::NotSent(describe(&error))),
-            Ok(Err(error)) => Err(CallError::Broken(describe(&error))),
+            Ok(Err(error)) if error.is_connect() => Err(CallError::NotSent(error_chain(&error))),
+            Ok(Err(error)) => Err(CallError::Broken(error_chain(&error))),
             Err(_) => {
                 self.drop_pool();
-                Err(CallError::Silent(format!("no answer within {} ms", first_byte.as_millis())))
+                Err(CallError::Silent(format!("no response within {} ms", first_byte.as_millis())))
             }
         }
     }
 
-    /// Forgets all pooled connections; calls in flight keep theirs.
+    /// Discards all pooled connections. Calls in flight keep their connections.
     pub fn drop_pool(&self) {
         self.pool.store(open_pool(&self.limits).into());
     }
@@ -120,16 +121,17 @@
     let mut connector = HttpConnector::new();
     connector.set_connect_timeout(Some(limits.connect));
     connector.set_nodelay(true);
-    connector.set_keepalive(Some(KEEPALIVE));
-    connector.set_keepalive_interval(Some(KEEPALIVE));
+    connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+    connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
     connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
     Client::builder(TokioExecutor::new())
-        .pool_idle_timeout(POOL_IDLE)
+        .pool_idle_timeout(POOL_IDLE_TIMEOUT)
         .pool_timer(TokioTimer::new())
         .build(connector)
 }
 
-fn describe(error: &dyn std::error::Error) -> String {
+/// Joins the messages of an error and of all its sources.
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
@@ -140,10 +142,10 @@
     text
 }
 
-/// Reads a body of at most `max_bytes` within `limit`.
+/// Reads a response body of at most `max_bytes` within the timeout `limit`.
 ///
-/// Fails as [`CallError::Broken`] where it is larger or breaks off, as [`CallError::Silent`] where
-/// it does not end in time.
+/// Returns [`CallError::Broken`] if the body is larger or the connection fails, and
+/// [`CallError::Silent`] if the body is not complete within `limit`.
 pub async fn read_body(
     body: Incoming,
     max_bytes: usize,
@@ -152,6 +154,6 @@
     match tokio::time::timeout(limit, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) => Err(CallError::Broken(error.to_string())),
-        Err(_) => Err(CallError::Silent(format!("body not whole within {} ms", limit.as_millis()))),
+        Err(_) => Err(CallError::Silent(format!("body incomplete after {} ms", limit.as_millis()))),
     }
 }
--- a/crates/cuminramp-http/src/lib.rs
+++ b/crates/cuminramp-http/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP client and server plumbing with a liveness rule for each connection.
+//! HTTP client and server with timeouts for each connection.
 
 mod client;
 mod server;
--- a/crates/cuminramp-http/src/server.rs
+++ b/crates/cuminramp-http/src/server.rs
@@ -1,4 +1,4 @@
-//! An accept loop with time-outs for slow heads and a drain that cuts off no answer.
+//! Accept loop with a timeout for request heads and a drain that completes the responses in flight.
 
 use std::time::Duration;
 
@@ -10,20 +10,21 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-/// Waits between tries when the system can't accept, as when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next attempt after `accept` failed, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How a listener treats its connections.
+/// Limits for the connections of one listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ServeLimits {
-    /// Until the head of a request is whole; also bounds an idle connection between requests.
+    /// Timeout for receiving a complete request head; also bounds the idle time between requests.
     pub head: Duration,
-    /// How many connections may be open at once.
+    /// Maximum number of open connections.
     pub connections: usize,
 }
 
-/// Accepts the next connection; `None` once `stop` is cancelled. Where the system can't accept, as when
-/// descriptors have run out, it tries again after a while.
+/// Accepts the next connection; returns `None` once `stop` is cancelled.
+///
+/// If `accept` fails, for example for lack of file descriptors, it tries again after a delay.
 pub async fn accept_next(listener: &TcpListener, stop: &CancellationToken) -> Option<TcpStream> {
     loop {
         let accepted = tokio::select! {
@@ -32,19 +33,20 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                // Small writes are tokens of a stream or calls between hosts: each leaves at once.
+                // Small writes are tokens of a stream or calls between hosts: disable Nagle's
+                // algorithm, so that each is sent at once.
                 let _ = stream.set_nodelay(true);
                 return Some(stream);
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// Serves `router` on `listener` until `drain` is cancelled, then finishes what is in flight.
+/// Serves `router` on `listener` until `drain` is cancelled, then completes the requests in flight.
 ///
-/// Returns once every connection has ended. A caller that sends half a head holds a connection for
-/// at most `limits.head`. Cancelling `abort` drops all connections where they stand.
+/// Returns once every connection is closed. A caller that sends an incomplete request head occupies a
+/// connection for at most `limits.head`. Cancelling `abort` closes all connections immediately.
 pub async fn serve_router(
     listener: TcpListener,
     router: Router,
@@ -60,12 +62,12 @@
             () = abort.cancelled() => return,
         };
         let Some(stream) = stream else { break };
-        // Over the limit the newest connection is closed at once: the caller sees that and tries
-        // another host, where waiting in a queue nobody reads would look like a dead host.
+        // Above the limit, a new connection is closed at once: the caller detects that and tries another
+        // host. If the connection waited unread, this host would look dead to the caller.
         let Ok(permit) = permits.clone().try_acquire_owned() else {
             continue;
         };
-        let connection = graceful.watch(accept_connection(stream, router.clone(), limits));
+        let connection = graceful.watch(build_connection(stream, router.clone(), limits));
         let abort = abort.clone();
         tokio::spawn(async move {
             tokio::select! {
@@ -84,7 +86,7 @@
 
 type RouterService = TowerToHyperService<Router>;
 
-fn accept_connection(
+fn build_connection(
     stream: TcpStream,
     router: Router,
     limits: ServeLimits,
