--- a/crates/cuminramp-platform/src/error.rs
+++ b/crates/cuminramp-platform/src/error.rs
@@ -1,13 +1,14 @@
-//! Errors of the platform's stores.
+//! Error type of the platform interfaces.
 
 use std::fmt;
 
-/// Why the platform gave no answer.
+/// Reason why a call to the platform failed, distinguished by whether it may have taken effect.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StoreError {
     /// The call had no effect.
     Unavailable(String),
-    /// The call may have taken effect: its answer was lost. Read back before trying again.
+    /// The outcome is unknown: the response was lost, and the call may have taken effect. The caller
+    /// must read the state back before it retries.
     Unknown(String),
 }
 
--- a/crates/cuminramp-platform/src/hosts.rs
+++ b/crates/cuminramp-platform/src/hosts.rs
@@ -1,26 +1,27 @@
-//! The lagging list of hosts.
+//! Interface to the platform's host list, which lags behind the actual set of hosts.
 
 use async_trait::async_trait;
 use cuminramp_core::Name;
 
 use crate::StoreError;
 
-/// A host as the platform lists it.
+/// Entry of the platform's host list.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct HostEntry {
-    /// Where its daemon listens for other daemons, `ip:port`.
+    /// Address on which the host's daemon listens for other daemons, `ip:port`.
     pub address: Name,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove the host.
     pub leaving: bool,
 }
 
-/// The platform's list of hosts, some time late.
+/// The platform's host list; it may be out of date.
 #[async_trait]
 pub trait HostList: Send + Sync {
-    /// The hosts as the platform shows them now.
+    /// Returns the hosts that the platform currently lists.
     async fn list(&self) -> Result<Vec<HostEntry>, StoreError>;
 
-    /// Tells the platform that this host stands, and whether it is leaving. A platform that knows
-    /// its hosts by itself ignores it.
+    /// Reports to the platform that this host is up, and whether it is leaving.
+    ///
+    /// A platform that tracks its hosts itself ignores the report.
     async fn announce(&self, entry: &HostEntry) -> Result<(), StoreError>;
 }
--- a/crates/cuminramp-platform/src/http_platform.rs
+++ b/crates/cuminramp-platform/src/http_platform.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP with JSON.
+//! Client for the platform's HTTP and JSON protocol.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
     CommitBody, CommitReply, HostBody, HostsReply, ReadBody, RowBody, RowsReply, ScanBody,
 };
 
-/// The largest answer that is read.
-const MAX_ANSWER_BYTES: usize = 1 << 30;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 30;
 
-/// The JSON bodies of the platform's protocol.
+/// JSON bodies of the platform's protocol.
 pub mod wire_format {
     use base64::Engine;
     use base64::engine::general_purpose::STANDARD;
@@ -29,80 +29,80 @@
 
     use crate::table::{Condition, Row, Transaction};
 
-    /// A row; the value is base64.
+    /// A row; its value is encoded in base64.
     #[derive(Debug, Deserialize, Serialize)]
     pub struct RowBody {
-        /// Key.
+        /// Key of the row.
         pub key: String,
-        /// Value in base64.
+        /// Value of the row, in base64.
         pub value: String,
-        /// Commit version.
+        /// Version of the commit that wrote the row last.
         pub version: u64,
     }
 
     /// Body of `POST /table/read`.
     #[derive(Debug, Deserialize, Serialize)]
     pub struct ReadBody {
-        /// The keys to read.
+        /// Keys of the rows to read.
         pub keys: Vec<String>,
     }
 
     /// Body of `POST /table/scan`.
     #[derive(Debug, Deserialize, Serialize)]
     pub struct ScanBody {
-        /// What keys start with.
+        /// Prefix of the keys to return.
         pub prefix: String,
-        /// Keys after this one.
+        /// Only keys that sort after this one are returned.
         pub after: String,
-        /// At most so many.
+        /// Maximum number of rows to return.
         pub limit: usize,
     }
 
-    /// Rows, `null` for one that is not there.
+    /// Response to a read or a scan.
     #[derive(Debug, Deserialize, Serialize)]
     pub struct RowsReply {
-        /// The rows.
+        /// Rows; `null` for each requested row that does not exist.
         pub rows: Vec<Option<RowBody>>,
     }
 
     /// Body of `POST /table/commit`.
     #[derive(Debug, Deserialize, Serialize)]
     pub struct CommitBody {
-        /// Rows and the versions they must have.
+        /// Keys of rows, each with the version that the row must have.
         pub conditions: Vec<(String, u64)>,
-        /// Rows to write, values in base64.
+        /// Keys of the rows to write, each with its value in base64.
         pub puts: Vec<(String, String)>,
-        /// Rows to delete.
+        /// Keys of the rows to delete.
         pub deletes: Vec<String>,
     }
 
-    /// Answer to a commit.
+    /// Response to `POST /table/commit`.
     #[derive(Debug, Deserialize, Serialize)]
     pub struct CommitReply {
-        /// The version it took effect at.
+        /// Version at which the transaction took effect; `None` if it conflicted.
         pub version: Option<u64>,
-        /// The rows that had other versions.
+        /// Keys of the rows that had other versions than required.
         pub conflicts: Vec<String>,
     }
 
-    /// A host of the list.
+    /// Entry of the host list, and body of `PUT /hosts`.
     #[derive(Debug, Deserialize, Serialize)]
     pub struct HostBody {
-        /// Peer address.
+        /// Address on which the host's daemon listens for other daemons, `ip:port`.
         pub address: String,
-        /// About to go.
+        /// Whether the host is about to be removed.
         pub leaving: bool,
     }
 
-    /// Answer to `GET /hosts`.
+    /// Response to `GET /hosts`.
     #[derive(Debug, Deserialize, Serialize)]
     pub struct HostsReply {
-        /// The hosts.
+        /// All hosts of the list.
         pub hosts: Vec<HostBody>,
     }
 
     impl RowBody {
-        /// The body for a row.
+        /// Encodes a row.
         pub fn from_row(row: &Row) -> Self {
             RowBody {
                 key: row.key.clone(),
@@ -111,7 +111,7 @@
             }
         }
 
-        /// The row of a body; `None` where the value is not base64.
+        /// Decodes the row; returns `None` if the value is not valid base64.
         pub fn into_row(self) -> Option<Row> {
             let value = STANDARD.decode(self.value).ok()?;
             Some(Row { key: self.key, value: Bytes::from(value), version: self.version })
@@ -119,18 +119,20 @@
     }
 
     impl CommitBody {
-        /// The body for a transaction.
+        /// Encodes a transaction.
         pub fn from_transaction(transaction: &Transaction) -> Self {
             let conditions = transaction.conditions.iter();
             let puts = transaction.puts.iter();
             CommitBody {
-                conditions: conditions.map(|held| (held.key.clone(), held.version)).collect(),
+                conditions: conditions
+                    .map(|condition| (condition.key.clone(), condition.version))
+                    .collect(),
                 puts: puts.map(|(key, value)| (key.clone(), STANDARD.encode(value))).collect(),
                 deletes: transaction.deletes.clone(),
             }
         }
 
-        /// The transaction of a body; `None` where a value is not base64.
+        /// Decodes the transaction; returns `None` if a value is not valid base64.
         pub fn into_transaction(self) -> Option<Transaction> {
             let mut puts = Vec::with_capacity(self.puts.len());
             for (key, value) in self.puts {
@@ -146,7 +148,7 @@
     }
 }
 
-/// The platform's services behind one base address.
+/// HTTP client for a platform that serves all interfaces at one address.
 #[derive(Debug)]
 pub struct HttpPlatform {
     client: HttpClient,
@@ -154,13 +156,15 @@
     timeout: Duration,
 }
 
-struct PlatformAnswer {
+struct PlatformResponse {
     status: StatusCode,
     body: Bytes,
 }
 
 impl HttpPlatform {
-    /// A client for the platform at `address` (`ip:port`), giving each call `timeout`.
+    /// Creates a client for the platform at `address` (`ip:port`).
+    ///
+    /// `timeout` applies to connecting, to the response head and to the response body of each call.
     ///
     /// ```
     /// use std::time::Duration;
@@ -171,20 +175,20 @@
         HttpPlatform { client: HttpClient::new(limits), base: format!("http://{address}"), timeout }
     }
 
-    async fn call(&self, request: Request<Full<Bytes>>) -> Result<PlatformAnswer, StoreError> {
+    async fn call(&self, request: Request<Full<Bytes>>) -> Result<PlatformResponse, StoreError> {
         let response = self.client.send(request).await.map_err(to_store_error)?;
         let status = response.status();
-        let body = read_body(response.into_body(), MAX_ANSWER_BYTES, self.timeout)
+        let body = read_body(response.into_body(), MAX_RESPONSE_BYTES, self.timeout)
             .await
             .map_err(|error| StoreError::Unknown(error.to_string()))?;
-        // The platform answers 503 before it has done anything.
+        // The platform returns 503 only before it has applied any part of the call.
         if status == StatusCode::SERVICE_UNAVAILABLE {
-            return Err(StoreError::Unavailable("the platform refuses calls".into()));
+            return Err(StoreError::Unavailable("the platform returned status 503".into()));
         }
         if status.is_server_error() {
             return Err(StoreError::Unknown(format!("status {status}")));
         }
-        Ok(PlatformAnswer { status, body })
+        Ok(PlatformResponse { status, body })
     }
 
     async fn post<B: Serialize, R: DeserializeOwned>(
@@ -192,10 +196,11 @@
         path: &str,
         body: &B,
     ) -> Result<R, StoreError> {
-        let bytes = serde_json::to_vec(body).map_err(unusable)?;
+        let bytes = serde_json::to_vec(body).map_err(invalid_request)?;
         let request = self.request(Method::POST, path, Bytes::from(bytes))?;
-        let answer = self.call(request).await?;
-        serde_json::from_slice(&answer.body).map_err(|error| StoreError::Unknown(error.to_string()))
+        let response = self.call(request).await?;
+        serde_json::from_slice(&response.body)
+            .map_err(|error| StoreError::Unknown(error.to_string()))
     }
 
     fn request(
@@ -209,11 +214,11 @@
             .uri(format!("{}{path}", self.base))
             .header("content-type", "application/json")
             .body(Full::new(body))
-            .map_err(unusable)
+            .map_err(invalid_request)
     }
 }
 
-fn unusable(error: impl std::fmt::Display) -> StoreError {
+fn invalid_request(error: impl std::fmt::Display) -> StoreError {
     StoreError::Unavailable(error.to_string())
 }
 
@@ -229,7 +234,7 @@
     for body in reply.rows {
         let row = body.map(RowBody::into_row);
         if matches!(row, Some(None)) {
-            return Err(StoreError::Unknown("a row's value is not base64".into()));
+            return Err(StoreError::Unknown("the value of a row is not valid base64".into()));
         }
         rows.push(row.flatten());
     }
@@ -241,7 +246,7 @@
     async fn read(&self, keys: &[String]) -> Result<Vec<Option<Row>>, StoreError> {
         let reply: RowsReply = self.post("/table/read", &ReadBody { keys: keys.to_vec() }).await?;
         if reply.rows.len() != keys.len() {
-            return Err(StoreError::Unknown("the answer has another number of rows".into()));
+            return Err(StoreError::Unknown("the response has a different number of rows".into()));
         }
         into_rows(reply)
     }
@@ -271,8 +276,8 @@
 
     async fn get(&self, name: &str) -> Result<Option<Bytes>, StoreError> {
         let request = self.request(Method::GET, &format!("/objects/{name}"), Bytes::new())?;
-        let answer = self.call(request).await?;
-        Ok(answer.status.is_success().then_some(answer.body))
+        let response = self.call(request).await?;
+        Ok(response.status.is_success().then_some(response.body))
     }
 
     async fn get_range(
@@ -283,9 +288,9 @@
     ) -> Result<Option<Bytes>, StoreError> {
         let mut request = self.request(Method::GET, &format!("/objects/{name}"), Bytes::new())?;
         let range = format!("bytes={start}-{}", end.saturating_sub(1));
-        request.headers_mut().insert("range", range.parse().map_err(unusable)?);
-        let answer = self.call(request).await?;
-        Ok(answer.status.is_success().then_some(answer.body))
+        request.headers_mut().insert("range", range.parse().map_err(invalid_request)?);
+        let response = self.call(request).await?;
+        Ok(response.status.is_success().then_some(response.body))
     }
 
     async fn delete(&self, name: &str) -> Result<(), StoreError> {
@@ -298,8 +303,8 @@
 impl HostList for HttpPlatform {
     async fn list(&self) -> Result<Vec<HostEntry>, StoreError> {
         let request = self.request(Method::GET, "/hosts", Bytes::new())?;
-        let answer = self.call(request).await?;
-        let reply: HostsReply = serde_json::from_slice(&answer.body)
+        let response = self.call(request).await?;
+        let reply: HostsReply = serde_json::from_slice(&response.body)
             .map_err(|error| StoreError::Unknown(error.to_string()))?;
         let hosts = reply.hosts.into_iter();
         Ok(hosts
@@ -309,7 +314,7 @@
 
     async fn announce(&self, entry: &HostEntry) -> Result<(), StoreError> {
         let body = HostBody { address: entry.address.to_string(), leaving: entry.leaving };
-        let bytes = serde_json::to_vec(&body).map_err(unusable)?;
+        let bytes = serde_json::to_vec(&body).map_err(invalid_request)?;
         let request = self.request(Method::PUT, "/hosts", Bytes::from(bytes))?;
         self.call(request).await.map(drop)
     }
--- a/crates/cuminramp-platform/src/lib.rs
+++ b/crates/cuminramp-platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! Borders to the platform: table, object store and host list, with their HTTP clients.
+//! Interfaces to the platform (table, object store and host list) and their HTTP client.
 //!
-//! The traits say what the daemon asks of the platform. Each error tells whether a write surely
-//! had no effect or may have had one; nothing else about an outage matters to the decisions.
+//! The traits define what the daemon requires of the platform. Each error states whether a write had
+//! no effect or may have taken effect; callers base no decision on any other detail of an outage.
 
 mod error;
 mod hosts;
--- a/crates/cuminramp-platform/src/objects.rs
+++ b/crates/cuminramp-platform/src/objects.rs
@@ -1,20 +1,20 @@
-//! The object store.
+//! Interface to the platform's object store.
 
 use async_trait::async_trait;
 use bytes::Bytes;
 
 use crate::StoreError;
 
-/// The platform's object store. Objects are written whole and, here, never changed.
+/// The platform's object store. Objects are written in one call and never modified afterwards.
 #[async_trait]
 pub trait ObjectStore: Send + Sync {
     /// Writes an object.
     async fn put(&self, name: &str, body: Bytes) -> Result<(), StoreError>;
 
-    /// Reads an object; `None` where there is none.
+    /// Reads an object; returns `None` if it does not exist.
     async fn get(&self, name: &str) -> Result<Option<Bytes>, StoreError>;
 
-    /// Reads bytes `start..end` of an object; `None` where there is none.
+    /// Reads the bytes `start..end` of an object; returns `None` if the object does not exist.
     async fn get_range(
         &self,
         name: &str,
@@ -22,6 +22,6 @@
         end: u64,
     ) -> Result<Option<Bytes>, StoreError>;
 
-    /// Deletes an object; deleting one that is not there is no error.
+    /// Deletes an object; succeeds if it does not exist.
     async fn delete(&self, name: &str) -> Result<(), StoreError>;
 }
--- a/crates/cuminramp-platform/src/table.rs
+++ b/crates/cuminramp-platform/src/table.rs
@@ -1,46 +1,46 @@
-//! The transactional table.
+//! Interface to the platform's transactional table.
 
 use async_trait::async_trait;
 use bytes::Bytes;
 
 use crate::StoreError;
 
-/// The commit version of a row: it rises with each write of the table; 0 stands for "no row".
+/// Commit version of a row. It increases with each write to the table; 0 means that no row exists.
 pub type Version = u64;
 
-/// A row as read.
+/// A row of the table at the time of a read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Row {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Its value.
+    /// Value of the row.
     pub value: Bytes,
-    /// The version of the write that made it.
+    /// Version of the commit that wrote the row last.
     pub version: Version,
 }
 
-/// What must be so for a transaction to take effect.
+/// Precondition of a transaction: the version that a row must have.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Condition {
-    /// The row.
+    /// Key of the row.
     pub key: String,
-    /// Its version, or 0 where it must not be there.
+    /// Expected version of the row, or 0 if the row must not exist.
     pub version: Version,
 }
 
-/// Writes that take effect together or not at all.
+/// Writes that are applied atomically, if all conditions hold.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Transaction {
-    /// All of these must hold.
+    /// Conditions that must all hold for the transaction to be committed.
     pub conditions: Vec<Condition>,
-    /// Rows to write.
+    /// Keys and values of the rows to write.
     pub puts: Vec<(String, Bytes)>,
-    /// Rows to delete.
+    /// Keys of the rows to delete.
     pub deletes: Vec<String>,
 }
 
 impl Transaction {
-    /// Writes `key` where it has `version` (0: is absent).
+    /// Adds a write of `key` and the condition that the row has `version` (0: does not exist).
     ///
     /// ```
     /// use cuminramp_platform::Transaction;
@@ -59,74 +59,76 @@
         self
     }
 
-    /// Writes `key` whatever stands there.
+    /// Adds an unconditional write of `key`.
     pub fn put(mut self, key: impl Into<String>, value: impl Into<Bytes>) -> Self {
         self.puts.push((key.into(), value.into()));
         self
     }
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CommitOutcome {
-    /// It took effect, at this version.
+    /// The transaction took effect at this version.
     Committed(Version),
-    /// It had no effect: these rows had other versions.
+    /// The transaction had no effect, because the rows with these keys had other versions.
     Conflict(Vec<String>),
 }
 
-/// The platform's table.
+/// The platform's transactional table.
 #[async_trait]
 pub trait TableStore: Send + Sync {
-    /// Reads rows at one point in time; the answer has the order of `keys`.
+    /// Reads rows at a single point in time; the result is in the order of `keys`, with `None` for each
+    /// row that does not exist.
     async fn read(&self, keys: &[String]) -> Result<Vec<Option<Row>>, StoreError>;
 
     /// Reads up to `limit` rows whose keys start with `prefix` and sort after `after`.
     async fn scan(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<Row>, StoreError>;
 
-    /// Carries out a transaction.
+    /// Commits a transaction.
     async fn commit(&self, transaction: Transaction) -> Result<CommitOutcome, StoreError>;
 }
 
 /// A row that was written or deleted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RowChange {
-    /// The row as it is now; its value is empty where it was deleted.
+    /// The row after the change; its value is empty if the row was deleted.
     pub row: Row,
-    /// Whether it is gone.
+    /// Whether the row was deleted.
     pub is_deleted: bool,
 }
 
 /// Rows of one table, and the version up to which they are complete.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct TableSnapshot {
-    /// The rows.
+    /// Rows of the table.
     pub rows: Vec<Row>,
-    /// Changes up to this version are in them.
+    /// Version up to which all changes are included in `rows`.
     pub version: Version,
 }
 
-/// What a watch brought.
+/// Result of a watch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WatchAnswer {
-    /// Changes in their order, none where the time ran out, and the version to go on from.
+    /// Changes since the requested version; none if the wait timed out.
     Changes {
-        /// The changes.
+        /// Changes in commit order.
         changes: Vec<RowChange>,
-        /// The version to go on from.
+        /// Version to pass as `after` in the next watch.
         version: Version,
     },
-    /// The changes since then are no longer kept: the table has to be read anew.
+    /// The changes since the requested version are no longer available: the caller must read a new
+    /// snapshot of the table.
     HistoryLost,
 }
 
-/// A table whose changes can be waited for. Keys begin with the table's name and a slash.
+/// A table store that can be watched for changes. The keys of a table start with its name and a slash.
 #[async_trait]
 pub trait WatchedTable: TableStore {
-    /// Reads a whole table.
+    /// Reads all rows of a table.
     async fn snapshot(&self, table: &str) -> Result<TableSnapshot, StoreError>;
 
-    /// Waits up to `wait` for changes of a table after version `after`.
+    /// Waits up to `wait` for changes to a table after version `after`.
     async fn watch(
         &self,
         table: &str,
