--- a/crates/cuminramp-wire/src/encoded.rs
+++ b/crates/cuminramp-wire/src/encoded.rs
@@ -6,7 +6,7 @@
 /// A protobuf message that is serialized as a byte string.
 ///
 /// The RPC transport encodes fields by position, so a peer of an older version would fail to decode
-/// a message with an added field. Protobuf skips fields that it doesn't know.
+/// a message with an added field. Protobuf ignores unknown fields.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Encoded<M>(pub M);
 
