--- a/crates/cuminramp-standin/src/faulty_link.rs
+++ b/crates/cuminramp-standin/src/faulty_link.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that can delay, freeze or cut what passes through it.
+//! TCP relay that can delay or withhold the bytes of its connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,71 +10,73 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
+/// Size of the read buffer for each direction of a connection, in bytes.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// What the link does with bytes.
+/// How the relay handles the bytes of its connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkMode {
-    /// Passes them on.
+    /// Forwards bytes at once.
     Open,
-    /// Passes them on after a while.
+    /// Forwards each chunk after a delay.
     Delayed(Duration),
-    /// Holds the bytes towards the server; connections stay open and silent.
+    /// Withholds bytes towards the server and forwards the other direction; connections stay open.
     SilentForward,
-    /// Holds the bytes in both directions.
+    /// Withholds bytes in both directions; connections stay open.
     Silent,
 }
 
-/// A relay before one address.
+/// TCP relay in front of one server.
 ///
-/// Each connection follows the mode in force. With [`FaultyLink::freeze_open`] the connections that
-/// are open go silent for good while new ones work, as when a middlebox forgets them.
+/// The current mode applies to all connections. [`FaultyLink::freeze_open`] simulates a middlebox that
+/// loses the state of its connections: open connections stay open but transfer nothing more, while
+/// new ones work.
 #[derive(Debug)]
 pub struct FaultyLink {
     address: SocketAddr,
     server: watch::Sender<Option<SocketAddr>>,
     mode: watch::Sender<LinkMode>,
-    frozen: watch::Sender<u64>,
+    freeze_count: watch::Sender<u64>,
     stop: CancellationToken,
 }
 
 impl FaultyLink {
-    /// Opens a relay on a free loopback port; until it has a server it closes what connects.
+    /// Starts a relay on a free loopback port. Until a server is set, it closes each connection.
     pub async fn open() -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
         let (mode, modes) = watch::channel(LinkMode::Open);
-        let (frozen, freezes) = watch::channel(0);
+        let (freeze_count, freezes) = watch::channel(0);
         let (server, servers) = watch::channel(None);
         let stop = CancellationToken::new();
-        let ended = stop.clone();
+        let stop_requested = stop.clone();
         tokio::spawn(async move {
             tokio::select! {
-                () = relay_all(listener, servers, modes, freezes, ended.clone()) => {}
-                () = ended.cancelled() => {}
+                () = relay_all(listener, servers, modes, freezes, stop_requested.clone()) => {}
+                () = stop_requested.cancelled() => {}
             }
         });
-        Ok(FaultyLink { address, server, mode, frozen, stop })
+        Ok(FaultyLink { address, server, mode, freeze_count, stop })
     }
 
-    /// Where to connect.
+    /// Returns the address on which the relay listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Says where connections lead from now on.
+    /// Sets the server for connections that are opened from now on.
     pub fn set_server(&self, server: SocketAddr) {
         self.server.send_replace(Some(server));
     }
 
-    /// Changes what happens to bytes from now on.
+    /// Sets the mode of all connections, open ones included.
     pub fn set_mode(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
 
-    /// Makes every connection that is open now silent for good.
+    /// Freezes all connections that are currently open: they stay open but forward no further data.
     pub fn freeze_open(&self) {
-        self.frozen.send_modify(|count| *count += 1);
+        self.freeze_count.send_modify(|count| *count += 1);
     }
 }
 
@@ -98,12 +100,16 @@
             let Ok(target) = TcpStream::connect(server).await else {
                 return;
             };
-            let born = *freezes.borrow();
+            let freezes_at_open = *freezes.borrow();
             let (caller_read, caller_write) = caller.into_split();
             let (target_read, target_write) = target.into_split();
-            let forward =
-                Pump { modes: modes.clone(), freezes: freezes.clone(), born, forward: true };
-            let backward = Pump { modes, freezes, born, forward: false };
+            let forward = RelayDirection {
+                modes: modes.clone(),
+                freezes: freezes.clone(),
+                freezes_at_open,
+                to_server: true,
+            };
+            let backward = RelayDirection { modes, freezes, freezes_at_open, to_server: false };
             tokio::select! {
                 () = forward.run(caller_read, target_write) => {}
                 () = backward.run(target_read, caller_write) => {}
@@ -113,39 +119,41 @@
     }
 }
 
-/// One direction of one connection.
-struct Pump {
+/// One direction of a relayed connection.
+struct RelayDirection {
     modes: watch::Receiver<LinkMode>,
     freezes: watch::Receiver<u64>,
-    born: u64,
-    forward: bool,
+    /// Number of freezes when the connection was opened; it is frozen once the current number differs.
+    freezes_at_open: u64,
+    to_server: bool,
 }
 
-impl Pump {
+impl RelayDirection {
     async fn run(mut self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
         let mut buffer = vec![0; BUFFER_BYTES];
         loop {
             let Ok(count) = from.read(&mut buffer).await else {
                 return;
             };
-            self.pass().await;
+            self.wait_until_allowed().await;
             if count == 0 || to.write_all(&buffer[..count]).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Returns when a chunk may go on.
-    async fn pass(&mut self) {
+    /// Waits until the current mode allows a chunk to be forwarded; never returns if the connection is
+    /// frozen.
+    async fn wait_until_allowed(&mut self) {
         loop {
-            if *self.freezes.borrow() != self.born {
+            if *self.freezes.borrow() != self.freezes_at_open {
                 return std::future::pending().await;
             }
             let mode = *self.modes.borrow_and_update();
             match mode {
                 LinkMode::Open => return,
                 LinkMode::Delayed(wait) => return tokio::time::sleep(wait).await,
-                LinkMode::SilentForward if !self.forward => return,
+                LinkMode::SilentForward if !self.to_server => return,
                 LinkMode::SilentForward | LinkMode::Silent => {
                     if self.modes.changed().await.is_err() {
                         return;
