--- a/crates/cuminramp-standin/src/memory_platform.rs
+++ b/crates/cuminramp-standin/src/memory_platform.rs
@@ -1,4 +1,4 @@
-//! The platform in memory: table, objects and host list, with faults.
+//! In-memory platform with fault injection: table, object store and host list.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -18,17 +18,18 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct PlatformSettings {
-    /// How late the host list is, in milliseconds.
+    /// Delay until a change to the hosts appears in the host list, in milliseconds.
     pub list_lag_ms: u64,
-    /// How long after its last word a host stays listed, in milliseconds.
+    /// Time for which a host stays listed after its last announcement, in milliseconds, in addition to
+    /// `list_lag_ms`.
     pub host_ttl_ms: u64,
-    /// Transactions a second that the table takes; more are refused.
+    /// Maximum rate of transactions, per second; the table rejects transactions above it.
     pub writes_per_second: f64,
-    /// Reads a second that the table takes; more are refused.
+    /// Maximum rate of reads and scans, per second; the table rejects reads above it.
     pub reads_per_second: f64,
-    /// Seed of the faults.
+    /// Seed of the random faults.
     pub seed: u64,
-    /// Faults from the start.
+    /// Faults that are active from the start.
     pub faults: PlatformFaults,
 }
 
@@ -45,25 +46,26 @@
     }
 }
 
-/// What is wrong with the platform just now.
+/// Injected faults of the platform.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct PlatformFaults {
-    /// The table and the objects refuse every call.
+    /// Whether the table and the object store reject every call.
     pub down: bool,
-    /// The table alone refuses every call.
+    /// Whether the table rejects every call.
     pub table_down: bool,
-    /// The host list refuses every call.
+    /// Whether the host list rejects every call.
     pub list_down: bool,
-    /// Each call takes so much longer, in milliseconds.
+    /// Delay before each call is processed, in milliseconds. Object deletes, host announcements and
+    /// watches are not delayed.
     pub slow_ms: u64,
-    /// Of a thousand commits, so many take effect and lose their answer.
+    /// Number of commits per thousand that take effect but whose response is lost.
     pub lost_answers_permille: u32,
-    /// Commits take effect at once, and their answers come so much later, in milliseconds.
+    /// Delay of the response to each commit, in milliseconds; the commit itself takes effect at once.
     pub late_answers_ms: u64,
 }
 
-/// What was asked of the platform since it started.
+/// Counters of the calls to the platform since it started.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PlatformStats {
@@ -71,7 +73,7 @@
     pub table_reads: u64,
     /// Transactions that took effect.
     pub table_commits: u64,
-    /// Transactions that met a conflict.
+    /// Transactions that failed because of a conflict.
     pub table_conflicts: u64,
     /// Rows written or deleted.
     pub table_rows: u64,
@@ -79,11 +81,11 @@
     pub object_puts: u64,
     /// Objects read.
     pub object_gets: u64,
-    /// Calls refused as over the limit.
+    /// Table calls rejected by a rate limit.
     pub throttled: u64,
 }
 
-/// The platform in memory.
+/// In-memory platform with fault injection.
 pub struct MemoryPlatform {
     settings: PlatformSettings,
     state: Mutex<PlatformState>,
@@ -106,43 +108,43 @@
     objects: SortedMap<String, Bytes>,
     hosts: SortedMap<Name, ListedHost>,
     version: Version,
-    /// Changes in their order, for watches.
+    /// Changes in commit order, for watches.
     history: Vec<RowChange>,
-    /// Changes up to this version are no longer kept.
-    forgotten: Version,
+    /// Version up to which changes are discarded; a watch from an earlier version can't be served.
+    discarded_up_to: Version,
     faults: PlatformFaults,
     stats: PlatformStats,
     random: SeededRandom,
-    writes: CallMeter,
-    reads: CallMeter,
+    writes: TokenBucket,
+    reads: TokenBucket,
 }
 
-/// Lets through a number of calls a second, with one second's worth at once.
-struct CallMeter {
+/// Rate limiter that admits `rate` calls per second, with a burst of up to one second's worth of calls.
+struct TokenBucket {
     rate: f64,
-    level: f64,
-    at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
-impl CallMeter {
+impl TokenBucket {
     fn new(rate: f64, now: Instant) -> Self {
-        CallMeter { rate, level: rate, at: now }
+        TokenBucket { rate, tokens: rate, refilled_at: now }
     }
 
     fn admit(&mut self, now: Instant) -> bool {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.level = (self.level + passed * self.rate).min(self.rate);
-        self.at = now;
-        let admitted = self.level >= 1.0;
+        let elapsed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.rate).min(self.rate);
+        self.refilled_at = now;
+        let admitted = self.tokens >= 1.0;
         if admitted {
-            self.level -= 1.0;
+            self.tokens -= 1.0;
         }
         admitted
     }
 }
 
 impl MemoryPlatform {
-    /// An empty platform.
+    /// Creates an empty platform.
     ///
     /// ```
     /// use cuminramp_standin::{MemoryPlatform, PlatformSettings};
@@ -157,36 +159,37 @@
             hosts: SortedMap::new(),
             version: 0,
             history: Vec::new(),
-            forgotten: 0,
+            discarded_up_to: 0,
             faults: settings.faults.clone(),
             stats: PlatformStats::default(),
             random: SeededRandom::new(settings.seed),
-            writes: CallMeter::new(settings.writes_per_second, now),
-            reads: CallMeter::new(settings.reads_per_second, now),
+            writes: TokenBucket::new(settings.writes_per_second, now),
+            reads: TokenBucket::new(settings.reads_per_second, now),
         };
         MemoryPlatform { settings, state: Mutex::new(state), committed: watch::Sender::new(0) }
     }
 
-    /// Replaces the faults.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.lock().faults = faults;
     }
 
-    /// Drops the changes that watches go on from.
+    /// Discards the recorded changes, so that every watch from an earlier version returns
+    /// [`WatchAnswer::HistoryLost`].
     pub fn forget_history(&self) {
         let mut state = self.lock();
         state.history.clear();
-        state.forgotten = state.version;
+        state.discarded_up_to = state.version;
         drop(state);
         self.committed.send_modify(|_| {});
     }
 
-    /// The faults in force.
+    /// Returns the active faults.
     pub fn faults(&self) -> PlatformFaults {
         self.lock().faults.clone()
     }
 
-    /// What was asked so far.
+    /// Returns the counters.
     pub fn stats(&self) -> PlatformStats {
         self.lock().stats.clone()
     }
@@ -195,26 +198,26 @@
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    async fn be_slow(&self) {
-        let slow = self.lock().faults.slow_ms;
-        if slow > 0 {
-            tokio::time::sleep(Duration::from_millis(slow)).await;
+    async fn inject_delay(&self) {
+        let delay_ms = self.lock().faults.slow_ms;
+        if delay_ms > 0 {
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
     }
 }
 
-fn refused() -> StoreError {
+fn unavailable() -> StoreError {
     StoreError::Unavailable("the platform stand-in is down".into())
 }
 
 impl PlatformState {
-    fn read_gate(&mut self) -> Result<(), StoreError> {
+    fn check_read(&mut self) -> Result<(), StoreError> {
         if self.faults.down || self.faults.table_down {
-            return Err(refused());
+            return Err(unavailable());
         }
         if !self.reads.admit(Instant::now()) {
             self.stats.throttled += 1;
-            return Err(StoreError::Unavailable("too many reads".into()));
+            return Err(StoreError::Unavailable("read rate limit exceeded".into()));
         }
         self.stats.table_reads += 1;
         Ok(())
@@ -227,9 +230,9 @@
 
     fn changes_after(&self, prefix: &str, after: Version) -> Result<WatchAnswer, StoreError> {
         if self.faults.down || self.faults.table_down {
-            return Err(refused());
+            return Err(unavailable());
         }
-        if after < self.forgotten {
+        if after < self.discarded_up_to {
             return Ok(WatchAnswer::HistoryLost);
         }
         let newer = self.history.iter().filter(|change| change.row.version > after);
@@ -240,10 +243,11 @@
     fn conflicts(&self, transaction: &Transaction) -> Vec<String> {
         let conditions = transaction.conditions.iter();
         conditions
-            .filter(|held| {
-                self.rows.get(held.key.as_str()).map_or(0, |row| row.version) != held.version
+            .filter(|condition| {
+                self.rows.get(condition.key.as_str()).map_or(0, |row| row.version)
+                    != condition.version
             })
-            .map(|held| held.key.clone())
+            .map(|condition| condition.key.clone())
             .collect()
     }
 
@@ -269,27 +273,27 @@
 #[async_trait]
 impl TableStore for MemoryPlatform {
     async fn read(&self, keys: &[String]) -> Result<Vec<Option<Row>>, StoreError> {
-        self.be_slow().await;
+        self.inject_delay().await;
         let mut state = self.lock();
-        state.read_gate()?;
+        state.check_read()?;
         Ok(keys.iter().map(|key| state.read_row(key)).collect())
     }
 
     async fn scan(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<Row>, StoreError> {
-        self.be_slow().await;
+        self.inject_delay().await;
         let mut state = self.lock();
-        state.read_gate()?;
+        state.check_read()?;
         let keys = state.rows.keys().filter(|key| key.starts_with(prefix) && key.as_str() > after);
         let keys: Vec<String> = keys.take(limit).cloned().collect();
         Ok(keys.iter().filter_map(|key| state.read_row(key)).collect())
     }
 
     async fn commit(&self, transaction: Transaction) -> Result<CommitOutcome, StoreError> {
-        self.be_slow().await;
-        let late = Duration::from_millis(self.lock().faults.late_answers_ms);
+        self.inject_delay().await;
+        let response_delay = Duration::from_millis(self.lock().faults.late_answers_ms);
         let outcome = self.commit_now(transaction);
-        if !late.is_zero() {
-            tokio::time::sleep(late).await;
+        if !response_delay.is_zero() {
+            tokio::time::sleep(response_delay).await;
         }
         outcome
     }
@@ -299,11 +303,11 @@
     fn commit_now(&self, transaction: Transaction) -> Result<CommitOutcome, StoreError> {
         let mut state = self.lock();
         if state.faults.down || state.faults.table_down {
-            return Err(refused());
+            return Err(unavailable());
         }
         if !state.writes.admit(Instant::now()) {
             state.stats.throttled += 1;
-            return Err(StoreError::Unavailable("too many writes".into()));
+            return Err(StoreError::Unavailable("write rate limit exceeded".into()));
         }
         let conflicts = state.conflicts(&transaction);
         if !conflicts.is_empty() {
@@ -312,9 +316,9 @@
         }
         let version = state.apply(transaction);
         self.committed.send_replace(version);
-        let lost = state.faults.lost_answers_permille as usize;
-        if state.random.below(1000) < lost {
-            return Err(StoreError::Unknown("the answer was lost".into()));
+        let lost_permille = state.faults.lost_answers_permille as usize;
+        if state.random.below(1000) < lost_permille {
+            return Err(StoreError::Unknown("the response was lost".into()));
         }
         Ok(CommitOutcome::Committed(version))
     }
@@ -337,11 +341,11 @@
         let until = Instant::now() + wait;
         let mut committed = self.committed.subscribe();
         loop {
-            let answer = self.lock().changes_after(&prefix, after)?;
+            let result = self.lock().changes_after(&prefix, after)?;
             let is_empty =
-                matches!(&answer, WatchAnswer::Changes { changes, .. } if changes.is_empty());
+                matches!(&result, WatchAnswer::Changes { changes, .. } if changes.is_empty());
             if !is_empty || tokio::time::timeout_at(until, committed.changed()).await.is_err() {
-                return Ok(answer);
+                return Ok(result);
             }
         }
     }
@@ -350,10 +354,10 @@
 #[async_trait]
 impl ObjectStore for MemoryPlatform {
     async fn put(&self, name: &str, body: Bytes) -> Result<(), StoreError> {
-        self.be_slow().await;
+        self.inject_delay().await;
         let mut state = self.lock();
         if state.faults.down {
-            return Err(refused());
+            return Err(unavailable());
         }
         state.stats.object_puts += 1;
         state.objects.insert(name.into(), body);
@@ -361,10 +365,10 @@
     }
 
     async fn get(&self, name: &str) -> Result<Option<Bytes>, StoreError> {
-        self.be_slow().await;
+        self.inject_delay().await;
         let mut state = self.lock();
         if state.faults.down {
-            return Err(refused());
+            return Err(unavailable());
         }
         state.stats.object_gets += 1;
         Ok(state.objects.get(name).cloned())
@@ -376,8 +380,8 @@
         start: u64,
         end: u64,
     ) -> Result<Option<Bytes>, StoreError> {
-        let whole = self.get(name).await?;
-        Ok(whole.map(|body| {
+        let object = self.get(name).await?;
+        Ok(object.map(|body| {
             let end = (end as usize).min(body.len());
             body.slice((start as usize).min(end)..end)
         }))
@@ -386,7 +390,7 @@
     async fn delete(&self, name: &str) -> Result<(), StoreError> {
         let mut state = self.lock();
         if state.faults.down {
-            return Err(refused());
+            return Err(unavailable());
         }
         state.objects.remove(name);
         Ok(())
@@ -396,17 +400,17 @@
 #[async_trait]
 impl HostList for MemoryPlatform {
     async fn list(&self) -> Result<Vec<HostEntry>, StoreError> {
-        self.be_slow().await;
+        self.inject_delay().await;
         let now = Instant::now();
         let lag = Duration::from_millis(self.settings.list_lag_ms);
-        let kept = Duration::from_millis(self.settings.host_ttl_ms) + lag;
+        let retention = Duration::from_millis(self.settings.host_ttl_ms) + lag;
         let mut state = self.lock();
         if state.faults.list_down {
-            return Err(refused());
+            return Err(unavailable());
         }
-        state.hosts.retain(|_, host| now.saturating_duration_since(host.last_seen) < kept);
-        let shown = state.hosts.iter();
-        Ok(shown
+        state.hosts.retain(|_, host| now.saturating_duration_since(host.last_seen) < retention);
+        let listed = state.hosts.iter();
+        Ok(listed
             .filter(|(_, host)| now.saturating_duration_since(host.first_seen) >= lag)
             .map(|(address, host)| HostEntry {
                 address: address.clone(),
@@ -421,10 +425,10 @@
         let now = Instant::now();
         let mut state = self.lock();
         if state.faults.list_down {
-            return Err(refused());
+            return Err(unavailable());
         }
-        let fresh = || ListedHost { first_seen: now, last_seen: now, leaving_since: None };
-        let host = state.hosts.get_or_insert_with(entry.address.clone(), fresh);
+        let new_host = || ListedHost { first_seen: now, last_seen: now, leaving_since: None };
+        let host = state.hosts.get_or_insert_with(entry.address.clone(), new_host);
         host.last_seen = now;
         host.leaving_since = match (entry.leaving, host.leaving_since) {
             (true, since) => since.or(Some(now)),
--- a/crates/cuminramp-standin/src/platform_http.rs
+++ b/crates/cuminramp-standin/src/platform_http.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in over HTTP.
+//! HTTP interface of the platform stand-in.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,7 +43,8 @@
     serve_router(listener, router, SERVE_LIMITS, stop.clone(), stop).await;
 }
 
-/// An answer that was lost closes the call with 500; a refusal is a 503.
+/// Converts a [`StoreError`] to a response: status 503 if the call had no effect, 500 if its outcome is
+/// unknown.
 struct StoreFailure(StoreError);
 
 impl IntoResponse for StoreFailure {
@@ -86,7 +87,7 @@
     Json(body): Json<CommitBody>,
 ) -> Result<Response, StoreFailure> {
     let Some(transaction) = body.into_transaction() else {
-        return Ok((StatusCode::BAD_REQUEST, "a value is not base64").into_response());
+        return Ok((StatusCode::BAD_REQUEST, "a value is not valid base64").into_response());
     };
     let reply = match platform.commit(transaction).await? {
         CommitOutcome::Committed(version) => {
@@ -118,7 +119,7 @@
     Ok(found.map_or_else(|| StatusCode::NOT_FOUND.into_response(), IntoResponse::into_response))
 }
 
-/// Reads `bytes=start-last` into `start..end`.
+/// Parses the header `range: bytes=start-last` and returns `(start, end)`, with `end` exclusive.
 fn read_range(headers: &HeaderMap) -> Option<(u64, u64)> {
     let text = headers.get("range")?.to_str().ok()?.strip_prefix("bytes=")?;
     let (start, last) = text.split_once('-')?;
