--- a/crates/cuminramp-standin/src/engine.rs
+++ b/crates/cuminramp-standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! An engine process: it serves, crashes and comes back.
+//! Engine stand-in that serves requests, crashes on demand and restarts.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,27 +21,27 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct EngineSettings {
-    /// The model it serves.
+    /// Name of the model that it serves.
     pub model: String,
-    /// Sequences that run at once.
+    /// Maximum number of sequences that run concurrently.
     pub slots: usize,
-    /// A step's time without sequences, in microseconds.
+    /// Base duration of a step, in microseconds.
     pub step_base_us: u64,
-    /// A step's added time for each sequence, in microseconds.
+    /// Additional duration of a step for each running sequence, in microseconds.
     pub step_sequence_us: u64,
-    /// Steps a prompt takes before its first token, unless its prefix is cached.
+    /// Number of steps before the first token of a prompt, unless its prefix is cached.
     pub prefill_steps: usize,
-    /// Prefixes the cache holds.
+    /// Maximum number of prefixes in the cache.
     pub prefix_entries: usize,
-    /// Whether it reports its load at all.
+    /// Whether `GET /load` is available; if not, it returns 404.
     pub reports_load: bool,
-    /// How late load reports are, in milliseconds.
+    /// Delay of load reports, in milliseconds.
     pub report_lag_ms: u64,
-    /// How long a crashed engine is away, in milliseconds.
+    /// Time from a crash to the restart, in milliseconds.
     pub restart_ms: u64,
-    /// A prompt that holds this text crashes the engine; empty: none does.
+    /// Text that crashes the engine when a prompt contains it; if empty, no prompt does.
     pub crash_marker: String,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it rejects a command with a stale fencing number.
     pub checks_fencing: bool,
 }
 
@@ -63,27 +63,28 @@
     }
 }
 
-/// What is wrong with an engine just now, and the order it last took.
+/// Injected faults of an engine, and the fencing state of its commands.
 #[derive(Debug, Default)]
-pub(crate) struct EngineSwitches {
-    /// Takes connections and answers nothing.
+pub(crate) struct EngineControl {
+    /// Whether it accepts connections but sends no response.
     pub(crate) silent: AtomicBool,
-    /// Fails each request with status 500 before running it.
+    /// Whether it rejects each chat completion with status 500 before running it.
     pub(crate) failing: AtomicBool,
-    /// The highest fencing number of an order.
+    /// Highest fencing number of all commands received.
     pub(crate) fence: AtomicU64,
-    /// Orders that came with a lower number and were refused or, unchecked, carried out.
-    pub(crate) late_orders: AtomicU64,
+    /// Number of commands with a lower fencing number, which are rejected or, if fencing isn't checked,
+    /// accepted.
+    pub(crate) stale_commands: AtomicU64,
 }
 
 pub(crate) struct EngineShared {
     pub(crate) settings: EngineSettings,
     pub(crate) core: EngineCore,
-    pub(crate) switches: EngineSwitches,
+    pub(crate) control: EngineControl,
     pub(crate) crash: tokio::sync::Notify,
 }
 
-/// A running engine.
+/// A running engine stand-in; it stops when it is dropped.
 pub struct Engine {
     address: SocketAddr,
     shared: Arc<EngineShared>,
@@ -91,56 +92,56 @@
 }
 
 impl Engine {
-    /// Starts an engine on `listen`; port 0 takes a free one.
+    /// Starts an engine on `listen`; port 0 selects a free port.
     pub async fn start(listen: SocketAddr, settings: EngineSettings) -> io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
         let shared = Arc::new(EngineShared {
             core: EngineCore::new(settings.clone()),
             settings,
-            switches: EngineSwitches::default(),
+            control: EngineControl::default(),
             crash: tokio::sync::Notify::new(),
         });
         let stop = CancellationToken::new();
-        let (running, ended) = (shared.clone(), stop.clone());
+        let (task_shared, stop_requested) = (shared.clone(), stop.clone());
         tokio::spawn(async move {
             tokio::select! {
-                () = live(running.clone(), listener, address) => {}
-                () = running.core.run() => {}
-                () = ended.cancelled() => {}
+                () = serve_with_restarts(task_shared.clone(), listener, address) => {}
+                () = task_shared.core.run() => {}
+                () = stop_requested.cancelled() => {}
             }
         });
         Ok(Engine { address, shared, stop })
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Crashes it now; it comes back after `restart_ms`.
+    /// Crashes the engine; it restarts after `restart_ms`.
     pub fn crash(&self) {
         self.shared.crash.notify_one();
     }
 
-    /// Makes it take connections and answer nothing, or answer again.
+    /// Sets whether it accepts connections but sends no response.
     pub fn set_silent(&self, silent: bool) {
-        self.shared.switches.silent.store(silent, Ordering::Relaxed);
+        self.shared.control.silent.store(silent, Ordering::Relaxed);
     }
 
-    /// How often each prompt or service call ran, sorted by its text.
+    /// Returns how often each prompt or service call ran, sorted by its text.
     pub fn runs(&self) -> Vec<(String, u32)> {
         self.shared.core.runs()
     }
 
-    /// What it has done.
+    /// Returns the counters since the engine was started, crashes included.
     pub fn stats(&self) -> EngineStats {
         self.shared.core.stats()
     }
 
-    /// The late report of its load.
-    pub fn late_report(&self) -> crate::LoadReport {
-        self.shared.core.late_report()
+    /// Returns its load report, delayed by `report_lag_ms`.
+    pub fn delayed_report(&self) -> crate::LoadReport {
+        self.shared.core.delayed_report()
     }
 }
 
@@ -150,8 +151,14 @@
     }
 }
 
-/// Serves until a crash, stays away for a while, and serves again.
-async fn live(shared: Arc<EngineShared>, listener: TcpListener, address: SocketAddr) {
+/// Serves until a crash, waits for `restart_ms` and serves again on the same address.
+///
+/// Returns if the address can't be bound again.
+async fn serve_with_restarts(
+    shared: Arc<EngineShared>,
+    listener: TcpListener,
+    address: SocketAddr,
+) {
     let mut listener = Some(listener);
     loop {
         let Some(current) = listener.take() else {
@@ -159,9 +166,9 @@
         };
         let abort = CancellationToken::new();
         let router = build_router(shared.clone());
-        let never = CancellationToken::new();
+        let no_drain = CancellationToken::new();
         tokio::select! {
-            () = serve_router(current, router, SERVE_LIMITS, never, abort.clone()) => {}
+            () = serve_router(current, router, SERVE_LIMITS, no_drain, abort.clone()) => {}
             () = shared.crash.notified() => {}
         }
         abort.cancel();
--- a/crates/cuminramp-standin/src/engine_core.rs
+++ b/crates/cuminramp-standin/src/engine_core.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: every step gives each running sequence one token.
+//! Continuous batching: each step generates one token for every running sequence.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -12,52 +12,53 @@
 use crate::EngineSettings;
 use crate::text::expected_token;
 
-/// Characters of a prompt that make up one prefix of the cache.
+/// Length of a cached prompt prefix, in characters.
 const PREFIX_CHARS: usize = 64;
 
-/// What an engine says of its load, some time late.
+/// Load of an engine, as it was `age_ms` ago.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct LoadReport {
-    /// Sequences that get a token each step.
+    /// Number of sequences that are part of each step.
     pub running: u32,
-    /// Sequences that wait to be admitted.
+    /// Number of sequences that wait for a free slot.
     pub waiting: u32,
-    /// How many sequences may run at once.
+    /// Maximum number of sequences that run concurrently.
     pub slots: u32,
-    /// Milliseconds since the report was true.
+    /// Age of the report, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What an engine has done since it started.
+/// Counters of an engine since it was started; a crash doesn't reset them.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct EngineStats {
-    /// Requests taken in.
+    /// Chat completions accepted.
     pub requests: u64,
     /// Tokens generated.
     pub tokens: u64,
-    /// Sequences whose caller went away.
+    /// Sequences whose caller disconnected.
     pub cancelled: u64,
-    /// Times the engine crashed.
+    /// Number of crashes.
     pub crashes: u64,
-    /// Milliseconds in which at least one sequence ran, weighted by the share of slots in use.
+    /// Milliseconds in which at least one sequence ran, weighted by the fraction of slots in use.
     pub busy_slot_ms: u64,
     /// Requests whose prefix was in the cache.
     pub prefix_hits: u64,
 }
 
+/// A sequence to generate: the tokens at positions `start..tokens` of the answer to `prompt`.
 pub(crate) struct SequenceRequest {
     pub(crate) prompt: String,
     pub(crate) start: usize,
     pub(crate) tokens: usize,
 }
 
-/// What a sequence gives.
+/// Event of a sequence.
 pub(crate) enum SequenceEvent {
-    /// Its next token.
+    /// The next token.
     Token(String),
-    /// The answer is whole. A sequence that a crash took never says so.
+    /// The answer is complete. A sequence that is lost in a crash never sends this event.
     End,
 }
 
@@ -78,23 +79,23 @@
     reports: VecDeque<(Instant, LoadReport)>,
 }
 
-/// The batching loop of one engine and its counters; it outlives crashes.
+/// Batching loop of one engine and its counters; the counters survive crashes.
 pub(crate) struct EngineCore {
     settings: EngineSettings,
     state: Mutex<CoreState>,
-    arrived: Notify,
+    work_arrived: Notify,
 }
 
 impl EngineCore {
     pub(crate) fn new(settings: EngineSettings) -> Self {
-        EngineCore { settings, state: Mutex::default(), arrived: Notify::new() }
+        EngineCore { settings, state: Mutex::default(), work_arrived: Notify::new() }
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, CoreState> {
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Takes a sequence in; its tokens come through the receiver.
+    /// Queues a sequence; its events are sent to the returned receiver.
     pub(crate) fn submit(
         &self,
         request: SequenceRequest,
@@ -115,11 +116,11 @@
         let prefill_steps = if cached { 0 } else { self.settings.prefill_steps };
         state.waiting.push_back(Sequence { request, emitted: 0, prefill_steps, sender });
         drop(state);
-        self.arrived.notify_one();
+        self.work_arrived.notify_one();
         receiver
     }
 
-    /// Counts a run of work that is identified by `key`.
+    /// Counts a run of the work identified by `key` and returns the number of its runs so far.
     pub(crate) fn count_run(&self, key: &str) -> u32 {
         let mut state = self.lock();
         let runs = state.runs.get_or_insert_with(key.to_owned(), || 0);
@@ -135,7 +136,7 @@
         self.lock().stats.clone()
     }
 
-    /// Drops all sequences, as a crash does.
+    /// Simulates a crash: drops all sequences, the prefix cache and pending load reports.
     pub(crate) fn crash(&self) {
         let mut state = self.lock();
         state.stats.crashes += 1;
@@ -145,8 +146,10 @@
         state.reports.clear();
     }
 
-    /// The report that is `report_lag_ms` old.
-    pub(crate) fn late_report(&self) -> LoadReport {
+    /// Returns the latest load report that is at least `report_lag_ms` old, or else the oldest one.
+    ///
+    /// A report is recorded on each call, so only the load at earlier calls is available.
+    pub(crate) fn delayed_report(&self) -> LoadReport {
         let lag = Duration::from_millis(self.settings.report_lag_ms);
         let now = Instant::now();
         let mut state = self.lock();
@@ -155,8 +158,8 @@
         while state.reports.len() > 1 && now.saturating_duration_since(state.reports[1].0) >= lag {
             state.reports.pop_front();
         }
-        let (at, report) = state.reports[0].clone();
-        let age_ms = now.saturating_duration_since(at).as_millis() as u64;
+        let (reported_at, report) = state.reports[0].clone();
+        let age_ms = now.saturating_duration_since(reported_at).as_millis() as u64;
         LoadReport { age_ms, ..report }
     }
 
@@ -169,11 +172,11 @@
         }
     }
 
-    /// Runs steps for ever.
+    /// Runs steps until the future is dropped.
     pub(crate) async fn run(&self) {
         loop {
             let Some(step) = self.begin_step() else {
-                self.arrived.notified().await;
+                self.work_arrived.notified().await;
                 continue;
             };
             tokio::time::sleep(step).await;
@@ -181,7 +184,8 @@
         }
     }
 
-    /// Admits what fits and says how long the step takes; `None` where nothing is to do.
+    /// Admits waiting sequences to free slots and returns the duration of the step; `None` if no
+    /// sequence is running.
     fn begin_step(&self) -> Option<Duration> {
         let mut state = self.lock();
         while state.running.len() < self.settings.slots {
@@ -198,14 +202,14 @@
     fn end_step(&self, step: Duration) {
         let mut guard = self.lock();
         let state = &mut *guard;
-        let share = state.running.len() as u64 * step.as_micros() as u64;
-        state.stats.busy_slot_ms += share / self.settings.slots as u64 / 1_000;
+        let slot_micros = state.running.len() as u64 * step.as_micros() as u64;
+        state.stats.busy_slot_ms += slot_micros / self.settings.slots as u64 / 1_000;
         let stats = &mut state.stats;
         state.running.retain_mut(|sequence| advance(sequence, stats));
     }
 }
 
-/// Gives a sequence its token; says whether it goes on.
+/// Advances a sequence by one step; returns whether it continues.
 fn advance(sequence: &mut Sequence, stats: &mut EngineStats) -> bool {
     if sequence.sender.is_closed() {
         stats.cancelled += 1;
@@ -222,9 +226,9 @@
         let token = expected_token(&sequence.request.prompt, position);
         let _ = sequence.sender.send(SequenceEvent::Token(token));
     }
-    let goes_on = position + 1 < sequence.request.tokens;
-    if !goes_on {
+    let continues = position + 1 < sequence.request.tokens;
+    if !continues {
         let _ = sequence.sender.send(SequenceEvent::End);
     }
-    goes_on
+    continues
 }
--- a/crates/cuminramp-standin/src/engine_http.rs
+++ b/crates/cuminramp-standin/src/engine_http.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of an engine: chat completions, load, orders, faults, and a plain service.
+//! HTTP interface of an engine: chat completions, load, commands, faults and a generic service.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,11 +17,11 @@
 use crate::engine::EngineShared;
 use crate::engine_core::{SequenceEvent, SequenceRequest};
 
-/// Tokens of an answer where the caller names no number.
+/// Number of tokens generated if the request doesn't set `max_tokens`.
 const DEFAULT_TOKENS: usize = 16;
-/// Asks for an answer from this token on.
+/// Request header with the position of the first token to generate, for resuming a stream.
 const RESUME_HEADER: &str = "x-resume-position";
-/// Largest body of a service call.
+/// Maximum size of the body of a service call, in bytes.
 const MAX_SERVICE_BYTES: usize = 1 << 20;
 
 #[derive(Deserialize)]
@@ -39,13 +39,13 @@
     content: String,
 }
 
-/// An order to load something or change role.
+/// Body of a command, such as loading a model or changing the role of the engine.
 #[derive(Deserialize)]
-struct OrderBody {
+struct CommandBody {
     fence: u64,
 }
 
-/// Faults that can be set while the engine runs.
+/// Faults to inject while the engine runs.
 #[derive(Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 #[derive(Default)]
@@ -61,17 +61,17 @@
     Router::new()
         .route("/v1/chat/completions", post(complete_chat))
         .route("/load", get(show_load))
-        .route("/orders", post(take_command))
+        .route("/orders", post(apply_command))
         .route("/faults", post(set_faults))
         .route("/stats", get(show_stats))
         .route("/runs", get(show_runs))
-        .fallback(serve_call)
+        .fallback(echo_call)
         .with_state(shared)
 }
 
-/// Waits for ever where the engine is silent.
-async fn be_silent(shared: &EngineShared) {
-    if shared.switches.silent.load(Ordering::Relaxed) {
+/// Never returns if the engine is set to be silent.
+async fn hang_if_silent(shared: &EngineShared) {
+    if shared.control.silent.load(Ordering::Relaxed) {
         std::future::pending::<()>().await;
     }
 }
@@ -81,8 +81,8 @@
     headers: HeaderMap,
     Json(body): Json<ChatBody>,
 ) -> Response {
-    be_silent(&shared).await;
-    if shared.switches.failing.load(Ordering::Relaxed) {
+    hang_if_silent(&shared).await;
+    if shared.control.failing.load(Ordering::Relaxed) {
         return (StatusCode::INTERNAL_SERVER_ERROR, "the engine is failing").into_response();
     }
     let prompt = body.messages.iter().map(|message| message.content.as_str()).collect::<String>();
@@ -103,7 +103,8 @@
     }
 }
 
-fn chunk_line(model: &str, content: &str, finish: Option<&str>) -> Bytes {
+/// Encodes a part of a chat completion as a server-sent event.
+fn chunk_event(model: &str, content: &str, finish: Option<&str>) -> Bytes {
     let chunk = json!({
         "id": "chatcmpl-standin",
         "object": "chat.completion.chunk",
@@ -113,27 +114,29 @@
     Bytes::from(format!("data: {chunk}\n\n"))
 }
 
-/// The lines of a streamed answer.
-struct SequenceFeed {
+/// Server-sent events of a streamed answer.
+struct EventStream {
     model: String,
     receiver: mpsc::UnboundedReceiver<SequenceEvent>,
     ended: bool,
 }
 
-impl SequenceFeed {
-    /// The next event's lines. After a crash nothing follows: the connection breaks before the stream
-    /// can end, so that no cut answer looks whole.
-    async fn next_lines(&mut self) -> Option<Bytes> {
+impl EventStream {
+    /// Returns the next event, or `None` after the last one.
+    ///
+    /// After a crash it never returns: the connection is closed before the stream ends, so that a
+    /// truncated answer doesn't look complete.
+    async fn next_event(&mut self) -> Option<Bytes> {
         if self.ended {
             return None;
         }
         match self.receiver.recv().await {
-            Some(SequenceEvent::Token(token)) => Some(chunk_line(&self.model, &token, None)),
+            Some(SequenceEvent::Token(token)) => Some(chunk_event(&self.model, &token, None)),
             Some(SequenceEvent::End) => {
                 self.ended = true;
-                let mut lines = chunk_line(&self.model, "", Some("stop")).to_vec();
-                lines.extend_from_slice(b"data: [DONE]\n\n");
-                Some(lines.into())
+                let mut event = chunk_event(&self.model, "", Some("stop")).to_vec();
+                event.extend_from_slice(b"data: [DONE]\n\n");
+                Some(event.into())
             }
             None => std::future::pending().await,
         }
@@ -141,12 +144,12 @@
 }
 
 fn stream_answer(model: &str, receiver: mpsc::UnboundedReceiver<SequenceEvent>) -> Response {
-    let feed = SequenceFeed { model: model.to_owned(), receiver, ended: false };
-    let lines = futures_util::stream::unfold(feed, |mut feed| async move {
-        let lines = feed.next_lines().await?;
-        Some((Ok::<Bytes, Infallible>(lines), feed))
+    let state = EventStream { model: model.to_owned(), receiver, ended: false };
+    let events = futures_util::stream::unfold(state, |mut state| async move {
+        let event = state.next_event().await?;
+        Some((Ok::<Bytes, Infallible>(event), state))
     });
-    let body = Body::from_stream(lines);
+    let body = Body::from_stream(events);
     ([("content-type", "text/event-stream")], body).into_response()
 }
 
@@ -178,30 +181,30 @@
 }
 
 async fn show_load(State(shared): Shared) -> Response {
-    be_silent(&shared).await;
+    hang_if_silent(&shared).await;
     if !shared.settings.reports_load {
         return StatusCode::NOT_FOUND.into_response();
     }
-    Json(shared.core.late_report()).into_response()
+    Json(shared.core.delayed_report()).into_response()
 }
 
-async fn take_command(State(shared): Shared, Json(order): Json<OrderBody>) -> Response {
-    let highest = shared.switches.fence.fetch_max(order.fence, Ordering::Relaxed);
-    if order.fence < highest {
-        shared.switches.late_orders.fetch_add(1, Ordering::Relaxed);
+async fn apply_command(State(shared): Shared, Json(command): Json<CommandBody>) -> Response {
+    let highest = shared.control.fence.fetch_max(command.fence, Ordering::Relaxed);
+    if command.fence < highest {
+        shared.control.stale_commands.fetch_add(1, Ordering::Relaxed);
         if shared.settings.checks_fencing {
             return (StatusCode::CONFLICT, Json(json!({"fence": highest}))).into_response();
         }
     }
-    Json(json!({"fence": order.fence})).into_response()
+    Json(json!({"fence": command.fence})).into_response()
 }
 
 async fn set_faults(State(shared): Shared, Json(faults): Json<FaultBody>) -> StatusCode {
     if let Some(silent) = faults.silent {
-        shared.switches.silent.store(silent, Ordering::Relaxed);
+        shared.control.silent.store(silent, Ordering::Relaxed);
     }
     if let Some(failing) = faults.failing {
-        shared.switches.failing.store(failing, Ordering::Relaxed);
+        shared.control.failing.store(failing, Ordering::Relaxed);
     }
     if faults.crash {
         shared.crash.notify_one();
@@ -210,30 +213,30 @@
 }
 
 async fn show_stats(State(shared): Shared) -> Response {
-    let late_orders = shared.switches.late_orders.load(Ordering::Relaxed);
-    Json(json!({"engine": shared.core.stats(), "late-orders": late_orders})).into_response()
+    let stale_commands = shared.control.stale_commands.load(Ordering::Relaxed);
+    Json(json!({"engine": shared.core.stats(), "late-orders": stale_commands})).into_response()
 }
 
 async fn show_runs(State(shared): Shared) -> Response {
     Json(shared.core.runs()).into_response()
 }
 
-/// A plain service: it echoes the call and counts how often the same body came.
-async fn serve_call(State(shared): Shared, request: Request) -> Response {
-    be_silent(&shared).await;
+/// Handles calls to the generic service: echoes the call and counts how often the same call arrived.
+async fn echo_call(State(shared): Shared, request: Request) -> Response {
+    hang_if_silent(&shared).await;
     let (head, body) = request.into_parts();
     let Ok(body) = axum::body::to_bytes(body, MAX_SERVICE_BYTES).await else {
         return StatusCode::BAD_REQUEST.into_response();
     };
     let body = String::from_utf8_lossy(&body).into_owned();
     let runs = shared.core.count_run(&format!("{} {} {body}", head.method, head.uri));
-    let saw_key = head.headers.contains_key("authorization");
-    let answer = json!({
+    let has_key = head.headers.contains_key("authorization");
+    let response = json!({
         "method": head.method.as_str(),
         "path": head.uri.to_string(),
         "body": body,
         "runs": runs,
-        "saw-key": saw_key,
+        "saw-key": has_key,
     });
-    ([("x-service", "stand-in")], Json(answer)).into_response()
+    ([("x-service", "stand-in")], Json(response)).into_response()
 }
--- a/crates/cuminramp-standin/src/lib.rs
+++ b/crates/cuminramp-standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the platform and for engines, with settable faults.
+//! Stand-ins for the platform and for inference engines, with fault injection.
 //!
-//! They run inside a daemon for the quickstart, inside tests, and as processes of their own. What
-//! they do is plain on purpose; what goes wrong with them is settable and follows a fixed seed.
+//! They run inside a daemon for the quickstart, inside tests, and as separate processes. Their
+//! behavior is deliberately simple; faults are configurable, and random faults follow a fixed seed.
 
 mod engine;
 mod engine_core;
--- a/crates/cuminramp-standin/src/main.rs
+++ b/crates/cuminramp-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs a stand-in as a process of its own.
+//! Runs a stand-in as a separate process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,18 +17,18 @@
     xflags::xflags! {
         /// Stand-ins for the platform and for engines.
         cmd cuminramp-standin {
-            /// A table, an object store and a host list.
+            /// Serves a platform: a table, an object store and a host list.
             cmd platform {
-                /// Where to listen, ip:port.
+                /// Address to listen on, ip:port.
                 required --listen listen: SocketAddr
                 /// Settings in JSON with comments.
                 optional --settings settings: PathBuf
             }
-            /// An engine that is a plain service too.
+            /// Serves engines, each of which is also a generic HTTP service.
             cmd engine {
-                /// Where the first one listens, ip:port; more take the ports that follow.
+                /// Address of the first engine, ip:port; further engines use the ports that follow.
                 required --listen listen: SocketAddr
-                /// How many engines to run.
+                /// Number of engines; the default is 1.
                 optional --count count: u16
                 /// Settings in JSON with comments.
                 optional --settings settings: PathBuf
--- a/crates/cuminramp-standin/src/text.rs
+++ b/crates/cuminramp-standin/src/text.rs
@@ -1,9 +1,11 @@
-//! The text an engine stand-in generates: a function of the prompt and the position alone, so that
-//! whoever reads an answer can tell whether it is whole and its own.
+//! Text that an engine stand-in generates.
+//!
+//! It depends on the prompt and the position alone, so that a client can check that an answer is
+//! complete and belongs to its prompt.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The token at `position` of the answer to `prompt`.
+/// Returns the token at `position` of the answer to `prompt`.
 ///
 /// ```
 /// use cuminramp_standin::expected_token;
@@ -13,7 +15,7 @@
     format!("w{:06x} ", xxh3_64_with_seed(prompt.as_bytes(), position as u64) & 0xff_ffff)
 }
 
-/// The first `tokens` tokens of the answer to `prompt`.
+/// Returns the first `tokens` tokens of the answer to `prompt`.
 ///
 /// ```
 /// use cuminramp_standin::{expected_answer, expected_token};
