--- a/crates/cuminramp-replay/src/lib.rs
+++ b/crates/cuminramp-replay/src/lib.rs
@@ -1,10 +1,10 @@
 //! Replays loads and faults against the decisions of hosts, without I/O.
 //!
-//! [`run_replay`] lets the boards and the ledger of slots of `cuminramp-fleet` decide for a number of
-//! hosts, and emulates what is outside of them: callers, targets that admit in order of arrival, and
-//! reports of hosts that come at fixed times. Nothing waits for a clock, so minutes of a fleet take a second, and the same plan
-//! gives the same figures. It compares policies; times of one step of a target, memory and prefix
-//! caches are left out.
+//! [`run_replay`] runs the placement tables, job tables and slot ledger of `cuminramp-fleet` for a
+//! number of hosts and emulates everything around them: callers, targets that admit requests in order
+//! of arrival, and load reports that hosts send at a fixed interval. Time is simulated, so minutes of a
+//! fleet take about a second, and the same plan always gives the same figures. A replay compares
+//! policies: it doesn't model the time of a target's single steps, memory or prefix caches.
 
 mod plan;
 mod report;
--- a/crates/cuminramp-replay/src/report.rs
+++ b/crates/cuminramp-replay/src/report.rs
@@ -1,41 +1,41 @@
-//! What came of a replay.
+//! The figures that a replay returns.
 
 use serde::Serialize;
 
-/// Figures of one replay. Requests and items count once, however often they were sent.
+/// Figures of one replay. Each request and item counts once, regardless of how often it was sent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ReplayReport {
-    /// Requests of callers.
+    /// Requests that callers made.
     pub requests: u32,
-    /// First event within the objective, and whole.
+    /// Requests that were completed, with the first event within the objective.
     pub in_time: u32,
-    /// Whole, and later.
+    /// Requests that were completed, with the first event after the objective.
     pub late: u32,
-    /// Refused, and not served on return.
+    /// Requests that were refused for good: without a retry, or again when retried.
     pub refused: u32,
-    /// Refused with a time to come back, and then served.
+    /// Requests that were refused with a retry delay and served when retried.
     pub returned: u32,
-    /// Lost to a target or host that broke.
+    /// Requests that were lost because a target or host failed.
     pub failed: u32,
-    /// Sends of callers' requests, and how many of them a target broke.
+    /// Sends of requests to targets, including the sends that failed.
     pub sends: u32,
-    /// Sends that broke.
+    /// Sends of requests whose connection the target broke.
     pub broken_sends: u32,
-    /// Sends of requests and items that a target had no room for.
+    /// Sends of requests and items that a target refused because its queue was full.
     pub refused_sends: u32,
-    /// Items of jobs.
+    /// Items of all jobs.
     pub items: u32,
-    /// Done by when they were due.
+    /// Items that were completed by their due time.
     pub items_in_time: u32,
-    /// Done later or not at all.
+    /// Items that were completed after their due time or not at all.
     pub items_late: u32,
-    /// Runs of items that gave way to callers.
+    /// Runs of items that were preempted for requests.
     pub cut_runs: u32,
-    /// Seconds of slots that brought what somebody got.
+    /// Slot time that led to a result or to progress of an item, in seconds.
     pub slot_s_used: f64,
-    /// Seconds of slots for what was lost or begun anew.
+    /// Slot time of runs that were lost or had to be repeated, in seconds.
     pub slot_s_wasted: f64,
-    /// Most requests that one target began, over the mean.
+    /// Most runs that one target started, divided by the mean of all targets.
     pub busiest_over_mean: f64,
 }
