--- a/crates/cuminramp-replay/src/plan.rs
+++ b/crates/cuminramp-replay/src/plan.rs
@@ -1,27 +1,28 @@
-//! What is replayed.
+//! The load, the faults and the size of the fleet that are replayed.
 
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Loads and faults that a policy has to bear.
+/// Load and faults that a policy is replayed under.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LoadPattern {
-    /// Callers come in crests and troughs, jobs evenly.
+    /// Requests alternate between peaks and troughs; jobs arrive at an even rate.
     Waves,
-    /// Six times as many jobs for three seconds.
+    /// Jobs arrive at six times their usual rate for three seconds.
     JobBurst,
-    /// A third of the targets is lost at a crest and stays away.
+    /// A third of the targets is lost during a peak and doesn't come back.
     LostTargets,
-    /// A tenth of the targets breaks every connection for six seconds while it counts as serving.
+    /// A tenth of the targets breaks every connection for six seconds while listed as serving.
     FailingTargets,
-    /// All hosts lose power for two seconds and start with nothing known.
+    /// All hosts lose power for two seconds and restart with empty tables.
     MassLoss,
-    /// The same for half a second as a crest begins: targets still work on what the hosts had then.
+    /// All hosts lose power for half a second as a peak begins: targets still run the requests and
+    /// items that the hosts had in flight.
     PowerDip,
 }
 
 impl LoadPattern {
-    /// All patterns, by name.
+    /// All patterns with their names.
     pub const ALL: [(&str, LoadPattern); 6] = [
         ("waves", LoadPattern::Waves),
         ("job-burst", LoadPattern::JobBurst),
@@ -45,37 +46,37 @@
         let names: Vec<&str> = LoadPattern::ALL.iter().map(|(name, _)| *name).collect();
         found
             .map(|(_, pattern)| *pattern)
-            .ok_or_else(|| format!("no pattern {text}; there are {}", names.join(", ")))
+            .ok_or_else(|| format!("unknown pattern {text}; expected {}", names.join(", ")))
     }
 }
 
-/// A load, the fleet that bears it, and the seed that decides the rest.
+/// Load, size of the fleet and random seed of a replay.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplayPlan {
-    /// Load and fault.
+    /// Pattern of the load, with its fault.
     pub pattern: LoadPattern,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Targets.
+    /// Number of targets.
     pub targets: usize,
-    /// Requests that a target works on at once.
+    /// Requests that a target runs at once.
     pub slots: u32,
-    /// Requests of callers a second and target, on average.
+    /// Mean rate of callers' requests, in requests per second and target.
     pub requests_per_s: f64,
-    /// Jobs a second and target.
+    /// Rate of jobs, in jobs per second and target.
     pub jobs_per_s: f64,
-    /// How often hosts report what they have in flight.
+    /// Interval at which hosts report their load to the owner of the slots.
     pub news: Duration,
-    /// Whether targets tell their load in answers.
-    pub tells_load: bool,
-    /// How long callers and jobs come.
+    /// Whether targets report their load in answers.
+    pub targets_report_load: bool,
+    /// Time during which requests and jobs arrive.
     pub length: Duration,
-    /// Decides arrivals and draws.
+    /// Seed of arrivals and of random choices.
     pub seed: u64,
 }
 
 impl ReplayPlan {
-    /// A fleet of 12 hosts and 12 targets that is three quarters full.
+    /// Returns a plan for 12 hosts and 12 targets under three quarters of their capacity.
     ///
     /// ```
     /// use cuminramp_replay::{LoadPattern, ReplayPlan};
@@ -90,7 +91,7 @@
             requests_per_s: 4.5,
             jobs_per_s: 0.055,
             news: Duration::from_millis(10),
-            tells_load: true,
+            targets_report_load: true,
             length: Duration::from_secs(40),
             seed,
         }
--- a/crates/cuminramp-replay/src/target.rs
+++ b/crates/cuminramp-replay/src/target.rs
@@ -1,39 +1,41 @@
-//! A target that admits in order of arrival and knows no priorities.
+//! An emulated target that admits attempts in order of arrival, without priorities.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Requests that a target lets wait.
-const QUEUE: usize = 24;
+/// Maximum number of attempts in a target's queue; more are refused.
+const MAX_QUEUED: usize = 24;
 
-/// Work on a target.
+/// An attempt that a target runs or queues.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Run {
-    /// Who it is for.
-    pub(crate) work: usize,
-    /// When it began; `None` in the queue.
-    pub(crate) began: Option<Instant>,
-    /// How long it takes a slot.
-    pub(crate) takes: Duration,
+    /// Index of the attempt among those of the replay.
+    pub(crate) attempt: usize,
+    /// Time at which the target started it; `None` while it is queued.
+    pub(crate) started_at: Option<Instant>,
+    /// Time for which it occupies a slot.
+    pub(crate) duration: Duration,
 }
 
-/// What a target does.
+/// How a target behaves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum TargetHealth {
-    /// It serves.
-    Sound,
-    /// It breaks every new connection.
+    /// Serves requests.
+    Healthy,
+    /// Breaks every new connection.
     Failing,
-    /// It is gone.
+    /// Is gone for good.
     Lost,
 }
 
+/// A target with a fixed number of slots and a bounded queue.
 #[derive(Debug)]
 pub(crate) struct EmulatedTarget {
     pub(crate) health: TargetHealth,
-    pub(crate) begun: u32,
+    /// Runs started so far.
+    pub(crate) started: u32,
     slots: usize,
     running: Vec<Run>,
     queue: VecDeque<Run>,
@@ -42,55 +44,58 @@
 impl EmulatedTarget {
     pub(crate) fn new(slots: u32) -> Self {
         EmulatedTarget {
-            health: TargetHealth::Sound,
-            begun: 0,
+            health: TargetHealth::Healthy,
+            started: 0,
             slots: slots as usize,
             running: Vec::new(),
             queue: VecDeque::new(),
         }
     }
 
-    /// Takes work; `false` where the queue is full.
-    pub(crate) fn admit(&mut self, work: usize, takes: Duration) -> bool {
-        if self.queue.len() >= QUEUE {
+    /// Queues an attempt; returns `false` if the queue is full.
+    pub(crate) fn admit(&mut self, attempt: usize, duration: Duration) -> bool {
+        if self.queue.len() >= MAX_QUEUED {
             return false;
         }
-        self.queue.push_back(Run { work, began: None, takes });
+        self.queue.push_back(Run { attempt, started_at: None, duration });
         true
     }
 
-    /// Takes work off, because its sender closed the connection.
-    pub(crate) fn drop_work(&mut self, work: usize) -> Option<Run> {
-        if let Some(at) = self.queue.iter().position(|run| run.work == work) {
-            return self.queue.remove(at);
+    /// Removes an attempt whose sender closed the connection.
+    pub(crate) fn cancel(&mut self, attempt: usize) -> Option<Run> {
+        if let Some(index) = self.queue.iter().position(|run| run.attempt == attempt) {
+            return self.queue.remove(index);
         }
-        let at = self.running.iter().position(|run| run.work == work)?;
-        Some(self.running.swap_remove(at))
+        let index = self.running.iter().position(|run| run.attempt == attempt)?;
+        Some(self.running.swap_remove(index))
     }
 
-    /// Work that it runs or lets wait.
-    pub(crate) fn works(&self) -> impl Iterator<Item = usize> {
-        self.running.iter().chain(&self.queue).map(|run| run.work)
+    /// Returns the attempts that are running or queued.
+    pub(crate) fn attempts(&self) -> impl Iterator<Item = usize> {
+        self.running.iter().chain(&self.queue).map(|run| run.attempt)
     }
 
-    /// Loses everything; returns what it had.
-    pub(crate) fn lose_all(&mut self) -> Vec<Run> {
+    /// Removes and returns all running and queued attempts.
+    pub(crate) fn take_all(&mut self) -> Vec<Run> {
         self.running.drain(..).chain(self.queue.drain(..)).collect()
     }
 
-    /// Ends what is done by now, and begins what waits; returns what began and what ended.
+    /// Ends runs that are complete and starts queued ones in free slots; returns the attempts that
+    /// started and those that ended.
     pub(crate) fn advance(&mut self, now: Instant) -> (Vec<usize>, Vec<usize>) {
-        let is_done = |run: &Run| run.began.is_some_and(|began| began + run.takes <= now);
-        let ended = self.running.iter().filter(|run| is_done(run)).map(|run| run.work).collect();
-        self.running.retain(|run| !is_done(run));
-        let mut begun = Vec::new();
+        let is_complete =
+            |run: &Run| run.started_at.is_some_and(|started_at| started_at + run.duration <= now);
+        let ended =
+            self.running.iter().filter(|run| is_complete(run)).map(|run| run.attempt).collect();
+        self.running.retain(|run| !is_complete(run));
+        let mut started = Vec::new();
         while self.running.len() < self.slots {
             let Some(mut run) = self.queue.pop_front() else { break };
-            run.began = Some(now);
-            begun.push(run.work);
-            self.begun += 1;
+            run.started_at = Some(now);
+            started.push(run.attempt);
+            self.started += 1;
             self.running.push(run);
         }
-        (begun, ended)
+        (started, ended)
     }
 }
--- a/crates/cuminramp-replay/src/tests.rs
+++ b/crates/cuminramp-replay/src/tests.rs
@@ -17,24 +17,24 @@
     assert_eq!(replay(LoadPattern::JobBurst, 3), replay(LoadPattern::JobBurst, 3));
 }
 
-/// Callers come in crests while items fill every slot that they leave. Items that do not leave at once
-/// stand before callers, who hear nothing for seconds and give up.
+/// Requests arrive in peaks, and items fill every slot that is free between them. If items were not
+/// preempted at once, requests would queue behind them for seconds, and callers would give up.
 #[test_case(1; "seed 1")]
 #[test_case(2; "seed 2")]
 #[test_case(3; "seed 3")]
-fn batch_between_crests_makes_no_caller_wait(seed: u64) {
+fn batch_between_peaks_delays_no_caller(seed: u64) {
     let report = replay(LoadPattern::Waves, seed);
 
     assert!(share(report.in_time, report.requests) >= 0.95, "{report:?}");
     assert!(share(report.items_in_time, report.items) >= 0.95, "{report:?}");
 }
 
-/// Six times as many jobs come for three seconds, as at the end of a working day. There is room for all
-/// of them by when they are due, if those that are due first go first at every host.
+/// Jobs arrive at six times the usual rate for three seconds, as at the end of a working day. The fleet
+/// has the capacity to complete all of them in time if every host runs the items due first first.
 #[test_case(1; "seed 1")]
 #[test_case(2; "seed 2")]
 #[test_case(3; "seed 3")]
-fn a_burst_of_jobs_that_fits_is_done_in_time(seed: u64) {
+fn a_burst_of_jobs_within_capacity_is_completed_in_time(seed: u64) {
     let plan = ReplayPlan { jobs_per_s: 0.03, ..ReplayPlan::new(LoadPattern::JobBurst, seed) };
 
     let report = run_replay(&plan);
@@ -43,8 +43,8 @@
     assert!(share(report.in_time, report.requests) >= 0.95, "{report:?}");
 }
 
-/// A tenth of the targets breaks every connection for six seconds. Callers of requests that may run only
-/// once get nothing from a send that broke; at most three in a hundred sends may.
+/// A tenth of the targets breaks every connection for six seconds. Requests that may run only once fail
+/// with the send, so at most three in a hundred sends may break.
 #[test_case(1; "seed 1")]
 #[test_case(2; "seed 2")]
 #[test_case(3; "seed 3")]
@@ -62,13 +62,13 @@
     assert!(share(report.broken_sends, report.sends) <= 0.03, "{report:?}");
 }
 
-/// Seventy hosts tell each other five times a second what they have in flight. Between two such moments
-/// all see the same targets as the emptiest; where all send there, callers wait in queues while other
-/// targets stand empty. No more than one in twenty may hear late.
+/// Hosts report their load only five times a second. Between two reports all of them see the same targets
+/// as the least loaded; if all sent there, requests would queue at these while other targets idle. At most
+/// one request in twenty may get its first event late.
 #[test_case(1; "seed 1")]
 #[test_case(2; "seed 2")]
 #[test_case(3; "seed 3")]
-fn hosts_with_old_news_do_not_crowd_one_target(seed: u64) {
+fn hosts_with_outdated_loads_do_not_overload_one_target(seed: u64) {
     let plan = ReplayPlan {
         hosts: 35,
         targets: 45,
@@ -82,36 +82,36 @@
     assert!(share(report.in_time, report.requests) >= 0.95, "{report:?}");
 }
 
-/// Callers come in crests and troughs, and items enter each slot that is free. Did they enter slots that
-/// the next callers need, most runs would end within milliseconds, each read anew at another target: an
-/// item may give way once for each crest that it meets, and the crests of a run are at most two.
+/// Requests arrive in peaks and troughs, and items start in free slots. If they started in slots that the
+/// next requests need, most runs would be preempted within milliseconds, and each would process its prompt
+/// again at another target. An item may be preempted once per peak, and its run meets at most two peaks.
 #[test_case(1; "seed 1")]
 #[test_case(2; "seed 2")]
 #[test_case(3; "seed 3")]
-fn items_give_way_no_more_than_crests_come(seed: u64) {
+fn items_are_preempted_at_most_once_per_peak(seed: u64) {
     let report = replay(LoadPattern::Waves, seed);
 
     assert!(report.cut_runs <= 2 * report.items, "{report:?}");
     assert!(share(report.items_in_time, report.items) >= 0.95, "{report:?}");
 }
 
-/// All hosts lose power for a moment as a crest begins, while items fill the targets, which work on them for
-/// seconds. Hosts that take those slots for free let callers queue behind that work. Where targets tell their
-/// load, fewer callers have to hear late.
+/// All hosts lose power for half a second as a peak begins, while items fill the targets, which run them for
+/// seconds more. Restarted hosts that count these slots as free let requests queue behind this orphaned
+/// work. With loads that targets report, fewer requests get their first event late.
 #[test_case(1; "seed 1")]
 #[test_case(2; "seed 2")]
 #[test_case(3; "seed 3")]
-fn work_for_hosts_that_are_gone_keeps_fewer_callers_waiting_where_it_is_told(seed: u64) {
-    let told = ReplayPlan {
+fn reported_loads_reduce_waiting_behind_orphaned_work(seed: u64) {
+    let reported = ReplayPlan {
         hosts: 35,
         targets: 45,
         length: Duration::from_secs(17),
         ..ReplayPlan::new(LoadPattern::PowerDip, seed)
     };
 
-    let untold = ReplayPlan { tells_load: false, ..told };
+    let unreported = ReplayPlan { targets_report_load: false, ..reported };
 
-    let (with, without) = (run_replay(&told), run_replay(&untold));
+    let (with, without) = (run_replay(&reported), run_replay(&unreported));
 
     assert!(with.late < without.late, "{with:?} {without:?}");
     assert!(with.in_time > without.in_time, "{with:?} {without:?}");
--- a/crates/cuminramp-replay/src/world.rs
+++ b/crates/cuminramp-replay/src/world.rs
@@ -1,4 +1,4 @@
-//! Callers, hosts, targets and the news between hosts.
+//! Emulated callers, hosts and targets, and the reports that hosts send to the owner of the slots.
 
 use std::time::Duration;
 
@@ -13,17 +13,19 @@
 use crate::report::ReplayReport;
 use crate::target::{EmulatedTarget, TargetHealth};
 
-/// Time of one step.
+/// Simulated time of one step.
 const STEP: Duration = Duration::from_millis(5);
-/// First event that a caller wants, and what a target needs for it.
+/// Time within which a caller expects the first event of an answer.
 const OBJECTIVE: Duration = Duration::from_millis(300);
-const FIRST_EVENT: Duration = Duration::from_millis(60);
-/// Time after the load in which jobs may still end.
-const AFTER: Duration = Duration::from_secs(20);
-/// When the fault begins, in a crest.
+/// Time that a target needs for the first event of an attempt.
+const FIRST_EVENT_DELAY: Duration = Duration::from_millis(60);
+/// Time that jobs have to complete after the last arrivals.
+const COMPLETION_TIME: Duration = Duration::from_secs(20);
+/// Time from the start at which the fault begins, during a peak.
 const FAULT_AT: Duration = Duration::from_millis(10_200);
-/// Progress that hosts which lost power find again is this old at the most.
-const SAVED_EVERY: Duration = Duration::from_millis(1_100);
+/// Interval between checkpoints of the progress of items. Hosts that restart after a power loss resume
+/// from progress that is at most this old if the report interval divides it.
+const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(1_100);
 const POOL: &str = "pool";
 const ZONE: &str = "z";
 
@@ -31,20 +33,22 @@
 mod faults;
 mod slots;
 
-/// What a piece of work is.
+/// What an attempt runs: a request of a caller or an item of a job.
 #[derive(Clone, Debug)]
-enum Owner {
-    Caller { since: Instant, may_return: bool },
+enum AttemptKind {
+    Request { arrived_at: Instant, may_retry: bool },
     Item { job: Name, index: usize, due: Instant, ran: Duration },
 }
 
+/// One send of a request or an item from a host to a target.
 #[derive(Clone, Debug)]
-struct Work {
-    owner: Owner,
+struct Attempt {
+    kind: AttemptKind,
     host: usize,
     target: Name,
-    began: Option<Instant>,
-    /// Whether anybody still waits for it.
+    /// Time at which the target started it; `None` while it is queued.
+    started_at: Option<Instant>,
+    /// Whether a host still waits for its result.
     is_wanted: bool,
 }
 
@@ -52,18 +56,21 @@
     id: HostId,
     placement: PlacementTable,
     jobs: JobTable,
-    /// The last grant that it got, and the number of its last report.
+    /// Last grant that it received.
     acknowledged_grant: u64,
+    /// Number of its last report.
     reports: u64,
 }
 
-/// The host that owns the slots of all targets; it serves no callers here.
+/// The host that owns the slots of all targets; in a replay it serves no callers itself.
 struct EmulatedOwner {
     placement: PlacementTable,
     ledger: SlotLedger,
-    asks: u64,
+    /// Number of the last slot request, unique among those of all hosts.
+    requests: u64,
 }
 
+/// State of a replay.
 struct World {
     plan: ReplayPlan,
     start: Instant,
@@ -72,13 +79,18 @@
     hosts: Vec<EmulatedHost>,
     owner: EmulatedOwner,
     targets: Vec<EmulatedTarget>,
-    works: Vec<Work>,
-    returns: Vec<(Instant, Instant)>,
+    /// All attempts so far; their indexes identify them at targets.
+    attempts: Vec<Attempt>,
+    /// Requests to be retried: time of the retry, time of the first arrival.
+    retries: Vec<(Instant, Instant)>,
     jobs: Vec<JobSpec>,
+    /// Completed items: job, index of the item.
     finished: Vec<(Name, usize)>,
-    saved: Vec<(Name, usize, ItemProgress)>,
-    next_updates: Instant,
-    is_away: bool,
+    /// Last checkpoint of each item: job, index of the item, progress.
+    checkpoints: Vec<(Name, usize, ItemProgress)>,
+    next_report: Instant,
+    /// Whether all hosts are without power.
+    hosts_are_down: bool,
     report: ReplayReport,
 }
 
@@ -119,14 +131,14 @@
 
 fn new_owner(plan: &ReplayPlan) -> EmulatedOwner {
     let id = HostId { address: "owner".into(), incarnation: 1 };
-    EmulatedOwner { placement: new_placement(plan), ledger: SlotLedger::new(id), asks: 0 }
+    EmulatedOwner { placement: new_placement(plan), ledger: SlotLedger::new(id), requests: 0 }
 }
 
 fn group() -> SlotGroup {
     SlotGroup { pool: POOL.into(), zone: ZONE.into() }
 }
 
-/// Replays a plan.
+/// Replays a plan and returns its figures.
 ///
 /// ```
 /// use cuminramp_replay::{LoadPattern, ReplayPlan, run_replay};
@@ -136,7 +148,7 @@
 /// ```
 pub fn run_replay(plan: &ReplayPlan) -> ReplayReport {
     let mut world = World::new(*plan);
-    while world.now < world.start + plan.length + AFTER {
+    while world.now < world.start + plan.length + COMPLETION_TIME {
         world.step();
     }
     world.finish()
@@ -153,89 +165,89 @@
             hosts: (0..plan.hosts).map(|index| new_host(index, 1, &plan)).collect(),
             owner: new_owner(&plan),
             targets: (0..plan.targets).map(|_| EmulatedTarget::new(plan.slots)).collect(),
-            works: vec![],
-            returns: vec![],
+            attempts: vec![],
+            retries: vec![],
             jobs: vec![],
             finished: vec![],
-            saved: vec![],
-            next_updates: start,
-            is_away: false,
+            checkpoints: vec![],
+            next_report: start,
+            hosts_are_down: false,
             report: ReplayReport::default(),
         }
     }
 
     fn step(&mut self) {
         self.now += STEP;
-        self.strike();
+        self.inject_faults();
         self.advance_targets();
-        if !self.is_away {
-            if self.now >= self.next_updates {
-                self.report_all();
-                self.save_progress();
-                self.next_updates = self.now + self.plan.news;
+        if !self.hosts_are_down {
+            if self.now >= self.next_report {
+                self.send_reports();
+                self.save_checkpoints();
+                self.next_report = self.now + self.plan.news;
             }
             self.start_items();
         }
         let now = self.now;
         self.owner.ledger.expire(&mut self.owner.placement, now);
-        self.arrive();
+        self.process_arrivals();
     }
 
-    fn passed(&self) -> Duration {
+    fn elapsed(&self) -> Duration {
         self.now - self.start
     }
 
-    /// Whether `at` from the start falls into this step.
+    /// Returns whether the time `at` from the start falls into this step.
     fn is_at(&self, at: Duration) -> bool {
-        self.passed() >= at && self.passed() < at + STEP
+        self.elapsed() >= at && self.elapsed() < at + STEP
     }
 
     fn advance_targets(&mut self) {
         for target in 0..self.targets.len() {
-            let (begun, ended) = self.targets[target].advance(self.now);
-            let busy = self.targets[target].works().count() as u32;
-            for work in begun {
-                self.works[work].began = Some(self.now);
-                self.tell_load(work, busy);
+            let (started, ended) = self.targets[target].advance(self.now);
+            let busy = self.targets[target].attempts().count() as u32;
+            for attempt in started {
+                self.attempts[attempt].started_at = Some(self.now);
+                self.report_load(attempt, busy);
             }
-            ended.into_iter().for_each(|work| self.end_work(work));
+            ended.into_iter().for_each(|attempt| self.complete_attempt(attempt));
         }
     }
 
-    /// The first event of an answer says how much the target has to do.
-    fn tell_load(&mut self, work: usize, busy: u32) {
-        let begun = &self.works[work];
-        if begun.is_wanted && self.plan.tells_load {
-            let placement = &mut self.hosts[begun.host].placement;
-            placement.record_load(&begun.target, busy, self.now);
+    /// Records the load that the target reports with the first event of an answer.
+    fn report_load(&mut self, attempt: usize, busy: u32) {
+        let started = &self.attempts[attempt];
+        if started.is_wanted && self.plan.targets_report_load {
+            let placement = &mut self.hosts[started.host].placement;
+            placement.record_load(&started.target, busy, self.now);
         }
     }
 
-    fn ran(&self, work: usize) -> Duration {
-        self.works[work].began.map_or(Duration::ZERO, |began| self.now - began)
+    fn ran(&self, attempt: usize) -> Duration {
+        self.attempts[attempt].started_at.map_or(Duration::ZERO, |started_at| self.now - started_at)
     }
 
-    fn end_work(&mut self, work: usize) {
-        let ran = self.ran(work);
-        let done = self.works[work].clone();
+    fn complete_attempt(&mut self, attempt: usize) {
+        let ran = self.ran(attempt);
+        let done = self.attempts[attempt].clone();
         if !done.is_wanted {
             self.report.slot_s_wasted += ran.as_secs_f64();
             return;
         }
         self.report.slot_s_used += ran.as_secs_f64();
-        self.works[work].is_wanted = false;
+        self.attempts[attempt].is_wanted = false;
         let host = &mut self.hosts[done.host];
-        match &done.owner {
-            Owner::Caller { since, may_return } => {
+        match &done.kind {
+            AttemptKind::Request { arrived_at, may_retry } => {
                 host.placement.end(&done.target, WorkKind::Online);
                 host.placement.record_hold(ran);
-                let first = done.began.unwrap_or(self.now) + FIRST_EVENT;
-                let is_in_time = first - *since <= OBJECTIVE;
+                let first_event = done.started_at.unwrap_or(self.now) + FIRST_EVENT_DELAY;
+                let is_in_time = first_event - *arrived_at <= OBJECTIVE;
                 self.report.in_time += u32::from(is_in_time);
                 self.report.late += u32::from(!is_in_time);
-                self.report.returned += u32::from(!may_return);
+                self.report.returned += u32::from(!may_retry);
             }
-            Owner::Item { job, index, due, ran: before } => {
+            AttemptKind::Item { job, index, due, ran: before } => {
                 host.placement.end(&done.target, WorkKind::Batch);
                 let progress = ItemProgress { ran: *before + ran, ..ItemProgress::default() };
                 host.jobs.complete(job, *index, progress, self.now);
@@ -246,57 +258,61 @@
         host.placement.record_success(&done.target, self.now);
     }
 
-    /// The target broke under it.
-    fn break_work(&mut self, work: usize) {
-        let broken = self.works[work].clone();
-        if !std::mem::take(&mut self.works[work].is_wanted) {
+    /// Ends an attempt whose connection broke because its target failed.
+    fn fail_attempt(&mut self, attempt: usize) {
+        let failed = self.attempts[attempt].clone();
+        if !std::mem::take(&mut self.attempts[attempt].is_wanted) {
             return;
         }
-        self.report.slot_s_wasted += self.ran(work).as_secs_f64();
-        let host = &mut self.hosts[broken.host];
-        match &broken.owner {
-            Owner::Caller { .. } => {
-                host.placement.end(&broken.target, WorkKind::Online);
+        self.report.slot_s_wasted += self.ran(attempt).as_secs_f64();
+        let host = &mut self.hosts[failed.host];
+        match &failed.kind {
+            AttemptKind::Request { .. } => {
+                host.placement.end(&failed.target, WorkKind::Online);
                 self.report.failed += 1;
             }
-            Owner::Item { job, index, ran, .. } => {
-                host.placement.end(&broken.target, WorkKind::Batch);
+            AttemptKind::Item { job, index, ran, .. } => {
+                host.placement.end(&failed.target, WorkKind::Batch);
                 let progress = progress_of(*ran);
                 host.jobs.fail(job, *index, ItemFailure::Broken, progress, self.now);
             }
         }
     }
 
-    fn stop_item(&mut self, work: usize) {
-        let stopped = self.works[work].clone();
-        let Owner::Item { job, index, ran: before, .. } = &stopped.owner else { return };
-        let ran = self.ran(work);
+    /// Preempts an item; its progress stays.
+    fn preempt_item(&mut self, attempt: usize) {
+        let preempted = self.attempts[attempt].clone();
+        let AttemptKind::Item { job, index, ran: before, .. } = &preempted.kind else { return };
+        let ran = self.ran(attempt);
         self.report.cut_runs += 1;
-        self.targets[target_index(&stopped.target)].drop_work(work);
-        self.works[work].is_wanted = false;
+        self.targets[target_index(&preempted.target)].cancel(attempt);
+        self.attempts[attempt].is_wanted = false;
         self.report.slot_s_used += ran.as_secs_f64();
-        let host = &mut self.hosts[stopped.host];
-        host.placement.end(&stopped.target, WorkKind::Batch);
+        let host = &mut self.hosts[preempted.host];
+        host.placement.end(&preempted.target, WorkKind::Batch);
         let progress = progress_of(*before + ran);
         host.jobs.fail(job, *index, ItemFailure::GaveWay, progress, self.now);
     }
 
-    /// Keeps what hosts that lose power find again.
-    fn save_progress(&mut self) {
-        if !self.passed().as_millis().is_multiple_of(SAVED_EVERY.as_millis()) {
+    /// Saves the progress of running items, from which hosts resume after a power loss.
+    fn save_checkpoints(&mut self) {
+        if !self.elapsed().as_millis().is_multiple_of(CHECKPOINT_INTERVAL.as_millis()) {
             return;
         }
-        let mut saved = Vec::new();
-        let on_targets = self.targets.iter().flat_map(EmulatedTarget::works);
-        for work in on_targets.map(|at| &self.works[at]).filter(|work| work.is_wanted) {
-            if let Owner::Item { job, index, ran, .. } = &work.owner {
-                let now = work.began.map_or(Duration::ZERO, |began| self.now - began);
-                saved.push((job.clone(), *index, progress_of(*ran + now)));
+        let mut checkpoints = Vec::new();
+        let on_targets = self.targets.iter().flat_map(EmulatedTarget::attempts);
+        for attempt in
+            on_targets.map(|index| &self.attempts[index]).filter(|attempt| attempt.is_wanted)
+        {
+            if let AttemptKind::Item { job, index, ran, .. } = &attempt.kind {
+                let current =
+                    attempt.started_at.map_or(Duration::ZERO, |started_at| self.now - started_at);
+                checkpoints.push((job.clone(), *index, progress_of(*ran + current)));
             }
         }
-        for (job, index, progress) in saved {
-            self.saved.retain(|(id, at, _)| *id != job || *at != index);
-            self.saved.push((job, index, progress));
+        for (job, index, progress) in checkpoints {
+            self.checkpoints.retain(|(id, item, _)| *id != job || *item != index);
+            self.checkpoints.push((job, index, progress));
         }
     }
 
@@ -306,45 +322,51 @@
         let Some(due) = self.hosts[host].jobs.get(&start.job).map(|job| job.spec().due) else {
             return;
         };
-        let whole = Duration::from_millis(start.item.tokens);
+        let duration = Duration::from_millis(start.item.tokens);
         let ran = start.progress.ran;
-        let owner = Owner::Item { job: start.job, index: start.index, due, ran };
-        self.send(host, target, owner, whole.saturating_sub(ran).max(STEP));
+        let kind = AttemptKind::Item { job: start.job, index: start.index, due, ran };
+        self.send(host, target, kind, duration.saturating_sub(ran).max(STEP));
     }
 
-    /// Sends work; `false` where the target had no room.
-    fn send(&mut self, host: usize, target: Name, owner: Owner, takes: Duration) -> bool {
-        let kind = match owner {
-            Owner::Caller { .. } => WorkKind::Online,
-            Owner::Item { .. } => WorkKind::Batch,
+    /// Sends an attempt; returns `false` if the target's queue was full.
+    fn send(&mut self, host: usize, target: Name, kind: AttemptKind, duration: Duration) -> bool {
+        let work_kind = match kind {
+            AttemptKind::Request { .. } => WorkKind::Online,
+            AttemptKind::Item { .. } => WorkKind::Batch,
         };
-        let work = self.works.len();
-        self.hosts[host].placement.begin(&target, kind);
-        self.works.push(Work { owner, host, target: target.clone(), began: None, is_wanted: true });
+        let attempt = self.attempts.len();
+        self.hosts[host].placement.begin(&target, work_kind);
+        self.attempts.push(Attempt {
+            kind,
+            host,
+            target: target.clone(),
+            started_at: None,
+            is_wanted: true,
+        });
         let emulated = &mut self.targets[target_index(&target)];
-        if emulated.health != TargetHealth::Sound {
-            self.report.broken_sends += u32::from(kind == WorkKind::Online);
+        if emulated.health != TargetHealth::Healthy {
+            self.report.broken_sends += u32::from(work_kind == WorkKind::Online);
             self.hosts[host].placement.record_failure(&target, self.now);
-            self.break_work(work);
+            self.fail_attempt(attempt);
             return true;
         }
-        if emulated.admit(work, takes) {
+        if emulated.admit(attempt, duration) {
             return true;
         }
-        self.refuse_work(work);
+        self.reject_attempt(attempt);
         false
     }
 
-    /// The target had no room and did not run it.
-    fn refuse_work(&mut self, work: usize) {
-        let refused = self.works[work].clone();
-        self.works[work].is_wanted = false;
+    /// Ends an attempt that the target refused without running it because its queue was full.
+    fn reject_attempt(&mut self, attempt: usize) {
+        let refused = self.attempts[attempt].clone();
+        self.attempts[attempt].is_wanted = false;
         self.report.refused_sends += 1;
         let host = &mut self.hosts[refused.host];
         host.placement.record_full(&refused.target, self.now);
-        match &refused.owner {
-            Owner::Caller { .. } => host.placement.end(&refused.target, WorkKind::Online),
-            Owner::Item { job, index, ran, .. } => {
+        match &refused.kind {
+            AttemptKind::Request { .. } => host.placement.end(&refused.target, WorkKind::Online),
+            AttemptKind::Item { job, index, ran, .. } => {
                 host.placement.end(&refused.target, WorkKind::Batch);
                 host.jobs.fail(job, *index, ItemFailure::GaveWay, progress_of(*ran), self.now);
             }
@@ -353,15 +375,15 @@
 
     fn finish(mut self) -> ReplayReport {
         self.report.items_late = self.report.items - self.report.items_in_time;
-        let begun: Vec<u32> = self.targets.iter().map(|target| target.begun).collect();
-        let mean = f64::from(begun.iter().sum::<u32>()) / begun.len().max(1) as f64;
-        let most = begun.into_iter().max().unwrap_or(0);
-        self.report.busiest_over_mean = f64::from(most) / mean.max(1.0);
+        let started: Vec<u32> = self.targets.iter().map(|target| target.started).collect();
+        let mean = f64::from(started.iter().sum::<u32>()) / started.len().max(1) as f64;
+        let max = started.into_iter().max().unwrap_or(0);
+        self.report.busiest_over_mean = f64::from(max) / mean.max(1.0);
         self.report
     }
 }
 
 fn progress_of(ran: Duration) -> ItemProgress {
-    // One event a millisecond: the board only asks whether the run moved.
+    // One event per millisecond: the job table only checks whether a run made progress.
     ItemProgress { last_event: Some(ran.as_millis() as u64), text: String::new(), ran }
 }
--- a/crates/cuminramp-replay/src/world/arrivals.rs
+++ b/crates/cuminramp-replay/src/world/arrivals.rs
@@ -1,4 +1,4 @@
-//! Requests of callers and jobs as they come.
+//! Arrivals of requests and jobs, and retries of requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,60 +7,62 @@
 use cuminramp_fleet::{ItemSpec, JobSpec, PlacementDecision, PlacementRequest, ZoneLimit};
 use tokio::time::Instant;
 
-use super::{FAULT_AT, OBJECTIVE, Owner, POOL, STEP, World};
+use super::{AttemptKind, FAULT_AT, OBJECTIVE, POOL, STEP, World};
 use crate::plan::LoadPattern;
 
-/// Time that a request and an item take a slot, on average.
+/// Mean time for which a request occupies a slot.
 const REQUEST_RUN: Duration = Duration::from_millis(750);
+/// Mean time for which an item occupies a slot.
 const ITEM_RUN: Duration = Duration::from_millis(4_700);
-/// How much these vary, up and down.
-const SPREAD: f64 = 0.4;
-/// Items of a job, and when it is due.
+/// Fraction by which run times vary around their mean, up and down.
+const JITTER: f64 = 0.4;
+/// Items of a job.
 const ITEMS: usize = 10;
-const DUE: Duration = Duration::from_secs(18);
-/// A wave: trough, then crest, with their parts of the mean load.
+/// Time from its arrival at which a job is due.
+const DUE_DELAY: Duration = Duration::from_secs(18);
+/// Trough and peak, which alternate: length in seconds, factor of the mean rate of requests.
 const TROUGH: (f64, f64) = (3.6, 0.39);
-const CREST: (f64, f64) = (2.4, 1.91);
-/// How long jobs come in a burst, and how many times as many.
+const PEAK: (f64, f64) = (2.4, 1.91);
+/// Burst of jobs: length, factor of the usual rate.
 const BURST: (Duration, f64) = (Duration::from_secs(3), 6.0);
-/// Sends that a target refused, for one request.
-const MOST_UNRUN_SENDS: usize = 5;
+/// Maximum number of sends for one request that targets refuse before the request itself is refused.
+const MAX_REFUSED_SENDS: usize = 5;
 
 impl World {
-    pub(super) fn arrive(&mut self) {
-        if self.passed() < self.plan.length {
-            self.arrive_callers();
-            self.arrive_jobs();
+    pub(super) fn process_arrivals(&mut self) {
+        if self.elapsed() < self.plan.length {
+            self.generate_requests();
+            self.generate_jobs();
         }
         let now = self.now;
         let due: Vec<(Instant, Instant)> =
-            self.returns.iter().copied().filter(|(at, _)| *at <= now).collect();
-        self.returns.retain(|(at, _)| *at > now);
-        due.into_iter().for_each(|(_, since)| self.call(since, false));
+            self.retries.iter().copied().filter(|(at, _)| *at <= now).collect();
+        self.retries.retain(|(at, _)| *at > now);
+        due.into_iter().for_each(|(_, arrived_at)| self.place_request(arrived_at, false));
     }
 
-    fn arrive_callers(&mut self) {
-        let second = self.passed().as_secs_f64() % (TROUGH.0 + CREST.0);
-        let part = if second < TROUGH.0 { TROUGH.1 } else { CREST.1 };
-        let per_s = self.plan.requests_per_s * self.plan.targets as f64 * part;
-        // More than one may come in a step of a large fleet.
+    fn generate_requests(&mut self) {
+        let second = self.elapsed().as_secs_f64() % (TROUGH.0 + PEAK.0);
+        let factor = if second < TROUGH.0 { TROUGH.1 } else { PEAK.1 };
+        let per_s = self.plan.requests_per_s * self.plan.targets as f64 * factor;
+        // In a large fleet, more than one request may arrive in a step.
         let mut expected = per_s * STEP.as_secs_f64();
         while expected > 0.0 {
             if self.random.fraction() < expected {
                 self.report.requests += 1;
-                self.call(self.now, true);
+                self.place_request(self.now, true);
             }
             expected -= 1.0;
         }
     }
 
-    fn arrive_jobs(&mut self) {
+    fn generate_jobs(&mut self) {
         let in_burst = self.plan.pattern == LoadPattern::JobBurst
-            && self.passed() >= FAULT_AT
-            && self.passed() < FAULT_AT + BURST.0;
-        let part = if in_burst { BURST.1 } else { 1.0 };
-        let per_s = self.plan.jobs_per_s * self.plan.targets as f64 * part;
-        if self.is_away || self.random.fraction() >= per_s * STEP.as_secs_f64() {
+            && self.elapsed() >= FAULT_AT
+            && self.elapsed() < FAULT_AT + BURST.0;
+        let factor = if in_burst { BURST.1 } else { 1.0 };
+        let per_s = self.plan.jobs_per_s * self.plan.targets as f64 * factor;
+        if self.hosts_are_down || self.random.fraction() >= per_s * STEP.as_secs_f64() {
             return;
         }
         let job: Name = format!("j{}", self.jobs.len()).into();
@@ -70,8 +72,8 @@
                 path: "/".into(),
                 headers: vec![],
                 body: Default::default(),
-                // Stands for how long it runs, which no decision looks at.
-                tokens: self.vary(ITEM_RUN).as_millis() as u64,
+                // Holds the run time in milliseconds, since no decision depends on the tokens of an item.
+                tokens: self.add_jitter(ITEM_RUN).as_millis() as u64,
             })
         };
         let items: Vec<Arc<ItemSpec>> = (0..ITEMS).map(make_item).collect();
@@ -80,8 +82,8 @@
             team: "team".into(),
             route: "route".into(),
             host: "host".into(),
-            due: self.now + DUE,
-            give_up: self.now + DUE * 10,
+            due: self.now + DUE_DELAY,
+            give_up: self.now + DUE_DELAY * 10,
             max_attempts: 3,
             items,
         };
@@ -91,39 +93,40 @@
         self.jobs.push(spec);
     }
 
-    fn vary(&mut self, mean: Duration) -> Duration {
-        mean.mul_f64(1.0 + SPREAD * (2.0 * self.random.fraction() - 1.0))
+    fn add_jitter(&mut self, mean: Duration) -> Duration {
+        mean.mul_f64(1.0 + JITTER * (2.0 * self.random.fraction() - 1.0))
     }
 
-    fn call(&mut self, since: Instant, may_return: bool) {
-        if self.is_away {
+    /// Places a request through a random host, and schedules a retry if the fleet is full.
+    fn place_request(&mut self, arrived_at: Instant, may_retry: bool) {
+        if self.hosts_are_down {
             self.report.failed += 1;
             return;
         }
         let host = self.random.below(self.hosts.len());
-        let takes = self.vary(REQUEST_RUN);
+        let duration = self.add_jitter(REQUEST_RUN);
         let mut tried: Vec<Name> = Vec::new();
-        while tried.len() < MOST_UNRUN_SENDS {
+        while tried.len() < MAX_REFUSED_SENDS {
             let zones = ZoneLimit::none();
             let request = PlacementRequest {
                 zones: &zones,
                 pool: POOL,
                 objective: OBJECTIVE,
-                is_retry: !may_return,
+                is_retry: !may_retry,
                 tried: &tried,
             };
             match self.find_slot(host, &request) {
                 PlacementDecision::Send(target) => {
                     self.report.sends += 1;
-                    let owner = Owner::Caller { since, may_return };
-                    let is_admitted = self.send(host, target.id.clone(), owner, takes);
+                    let kind = AttemptKind::Request { arrived_at, may_retry };
+                    let is_admitted = self.send(host, target.id.clone(), kind, duration);
                     if is_admitted {
                         return;
                     }
                     tried.push(target.id);
                 }
-                PlacementDecision::Full(after) if may_return => {
-                    self.returns.push((self.now + after, since));
+                PlacementDecision::Full(delay) if may_retry => {
+                    self.retries.push((self.now + delay, arrived_at));
                     return;
                 }
                 PlacementDecision::Full(_) | PlacementDecision::Nowhere => break,
--- a/crates/cuminramp-replay/src/world/faults.rs
+++ b/crates/cuminramp-replay/src/world/faults.rs
@@ -1,23 +1,26 @@
-//! What fails, and what hosts find when they are back.
+//! Injected faults, and the state from which hosts restart.
 
 use std::time::Duration;
 
 use cuminramp_core::{Name, RandomSource};
 use cuminramp_fleet::ItemProgress;
 
-use super::{FAULT_AT, Owner, World, new_host, new_owner, target_name};
+use super::{AttemptKind, FAULT_AT, World, new_host, new_owner, target_name};
 use crate::plan::LoadPattern;
 use crate::target::TargetHealth;
 
-/// How long targets fail, and how long hosts are away.
-const FAILING_FOR: Duration = Duration::from_secs(6);
-const AWAY: Duration = Duration::from_secs(2);
-/// When power fails as a crest begins, and for how long.
+/// Time for which targets break connections.
+const TARGET_FAILURE_TIME: Duration = Duration::from_secs(6);
+/// Time for which hosts are without power in a mass loss.
+const MASS_LOSS_TIME: Duration = Duration::from_secs(2);
+/// Time from the start at which the power dip begins, at the beginning of a peak.
 const DIP_AT: Duration = Duration::from_millis(9_700);
-const DIP: Duration = Duration::from_millis(500);
+/// Time for which hosts are without power in a power dip.
+const DIP_TIME: Duration = Duration::from_millis(500);
 
 impl World {
-    pub(super) fn strike(&mut self) {
+    /// Starts and ends the faults of the plan that fall into this step.
+    pub(super) fn inject_faults(&mut self) {
         let (pattern, targets) = (self.plan.pattern, self.plan.targets);
         match pattern {
             LoadPattern::LostTargets if self.is_at(FAULT_AT) => {
@@ -27,40 +30,42 @@
                 let failing = &mut self.targets[..targets.div_ceil(10)];
                 failing.iter_mut().for_each(|target| target.health = TargetHealth::Failing);
             }
-            LoadPattern::FailingTargets if self.is_at(FAULT_AT + FAILING_FOR) => {
-                self.targets.iter_mut().for_each(|target| target.health = TargetHealth::Sound);
+            LoadPattern::FailingTargets if self.is_at(FAULT_AT + TARGET_FAILURE_TIME) => {
+                self.targets.iter_mut().for_each(|target| target.health = TargetHealth::Healthy);
             }
-            LoadPattern::MassLoss if self.is_at(FAULT_AT) => self.lose_hosts(),
-            LoadPattern::MassLoss if self.is_at(FAULT_AT + AWAY) => self.start_hosts(),
-            LoadPattern::PowerDip if self.is_at(DIP_AT) => self.lose_hosts(),
-            LoadPattern::PowerDip if self.is_at(DIP_AT + DIP) => self.start_hosts(),
+            LoadPattern::MassLoss if self.is_at(FAULT_AT) => self.stop_hosts(),
+            LoadPattern::MassLoss if self.is_at(FAULT_AT + MASS_LOSS_TIME) => self.start_hosts(),
+            LoadPattern::PowerDip if self.is_at(DIP_AT) => self.stop_hosts(),
+            LoadPattern::PowerDip if self.is_at(DIP_AT + DIP_TIME) => self.start_hosts(),
             _ => {}
         }
     }
 
     fn lose_target(&mut self, target: usize) {
         self.targets[target].health = TargetHealth::Lost;
-        for run in self.targets[target].lose_all() {
-            self.break_work(run.work);
+        for run in self.targets[target].take_all() {
+            self.fail_attempt(run.attempt);
         }
         let name = target_name(target);
         self.hosts.iter_mut().for_each(|host| host.placement.remove(&name));
         self.owner.placement.remove(&name);
     }
 
-    /// Power goes: targets go on with work that nobody waits for.
-    fn lose_hosts(&mut self) {
-        self.is_away = true;
-        for work in self.works.iter_mut().filter(|work| work.is_wanted) {
-            work.is_wanted = false;
-            if matches!(work.owner, Owner::Caller { .. }) {
+    /// Cuts the power of all hosts. Targets continue with their orphaned work.
+    fn stop_hosts(&mut self) {
+        self.hosts_are_down = true;
+        for attempt in self.attempts.iter_mut().filter(|attempt| attempt.is_wanted) {
+            attempt.is_wanted = false;
+            if matches!(attempt.kind, AttemptKind::Request { .. }) {
                 self.report.failed += 1;
             }
         }
     }
 
+    /// Restarts all hosts with empty tables and adds the jobs with their finished items and the
+    /// checkpoints of the others.
     fn start_hosts(&mut self) {
-        self.is_away = false;
+        self.hosts_are_down = false;
         let plan = self.plan;
         self.hosts = (0..plan.hosts).map(|index| new_host(index, 2, &plan)).collect();
         self.owner = new_owner(&plan);
@@ -72,12 +77,12 @@
                 .filter(|(index, _)| self.finished.contains(&(job.id.clone(), *index)))
                 .map(|(_, item)| item.id.clone())
                 .collect();
-            let of_job = self.saved.iter().filter(|(id, _, _)| *id == job.id);
-            let known: Vec<(Name, ItemProgress)> = of_job
+            let of_job = self.checkpoints.iter().filter(|(id, _, _)| *id == job.id);
+            let progress: Vec<(Name, ItemProgress)> = of_job
                 .map(|(_, index, progress)| (job.items[*index].id.clone(), progress.clone()))
                 .collect();
             let host = self.random.below(plan.hosts);
-            self.hosts[host].jobs.add(job.clone(), &finished, known);
+            self.hosts[host].jobs.add(job.clone(), &finished, progress);
             self.jobs.push(job);
         }
     }
--- a/crates/cuminramp-replay/src/world/slots.rs
+++ b/crates/cuminramp-replay/src/world/slots.rs
@@ -1,4 +1,4 @@
-//! What hosts and the owner of slots tell each other.
+//! Messages between hosts and the owner of the slots: load reports, grants, slot requests and limits.
 
 use cuminramp_core::Name;
 use cuminramp_fleet::{
@@ -7,11 +7,11 @@
 };
 use tokio::time::Instant;
 
-use super::{Owner, World, ZONE, group, target_index};
+use super::{AttemptKind, World, ZONE, group, target_index};
 
 impl World {
-    /// Every host reports what it has in flight.
-    pub(super) fn report_all(&mut self) {
+    /// Sends the report of each host to the owner: its requests and items in flight, and its demand.
+    pub(super) fn send_reports(&mut self) {
         let (now, group) = (self.now, group());
         for host in &mut self.hosts {
             host.reports += 1;
@@ -28,10 +28,10 @@
             };
             self.owner.ledger.receive_report(&mut self.owner.placement, &host.id, report, now);
         }
-        self.give_way();
+        self.preempt_items();
     }
 
-    /// Hands free slots to items.
+    /// Grants free slots to waiting items and starts these.
     pub(super) fn start_items(&mut self) {
         let now = self.now;
         let owner = &mut self.owner;
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Asks the owner for a slot as a host does for a request.
+    /// Requests a slot from the owner for a request, as a host does.
     pub(super) fn find_slot(
         &mut self,
         host: usize,
@@ -70,11 +70,11 @@
         loop {
             match search.next(search_limits, &mut self.random) {
                 SearchStep::Ask { may_queue, .. } => {
-                    let outcome = self.ask(host, may_queue, request.tried);
+                    let outcome = self.request_slot(host, may_queue, request.tried);
                     if let SlotOutcome::Granted { target, grant } = outcome {
-                        let held = &mut self.hosts[host];
-                        held.acknowledged_grant = grant;
-                        if let Some(target) = held.placement.by_hash(target).cloned() {
+                        let host = &mut self.hosts[host];
+                        host.acknowledged_grant = grant;
+                        if let Some(target) = host.placement.by_hash(target).cloned() {
                             return PlacementDecision::Send(target);
                         }
                     }
@@ -89,15 +89,15 @@
         }
     }
 
-    fn ask(&mut self, host: usize, may_queue: bool, tried: &[Name]) -> SlotOutcome {
+    fn request_slot(&mut self, host: usize, may_queue: bool, tried: &[Name]) -> SlotOutcome {
         let (now, group) = (self.now, group());
-        let asking = &self.hosts[host];
-        let mut avoided = asking.placement.avoided(&group, now);
-        avoided.extend(asking.placement.hashes_of(tried));
-        self.owner.asks += 1;
+        let requester = &self.hosts[host];
+        let mut avoided = requester.placement.avoided(&group, now);
+        avoided.extend(requester.placement.hashes_of(tried));
+        self.owner.requests += 1;
         let slot_request = SlotRequest {
-            incarnation: asking.id.incarnation,
-            request: self.owner.asks,
+            incarnation: requester.id.incarnation,
+            request: self.owner.requests,
             group: group.hash(),
             avoided,
             may_queue,
@@ -105,38 +105,38 @@
         let owner = &mut self.owner;
         let random = &mut self.random;
         let owned = GroupShare { group: &group, share: &ColdShare::Owner };
-        let answer = owner.ledger.answer(
+        let response = owner.ledger.answer(
             &mut owner.placement,
-            &asking.id,
+            &requester.id,
             owned,
             &slot_request,
             random,
             now,
         );
-        self.give_way();
-        answer.outcome
+        self.preempt_items();
+        response.outcome
     }
 
-    /// Breaks off items where more work is than slots, those that are due last first.
-    fn give_way(&mut self) {
+    /// Preempts items on targets that have more requests and items than slots, those due last first.
+    fn preempt_items(&mut self) {
         let now = self.now;
         let limits = self.owner.ledger.item_limits(&self.owner.placement, &group(), now);
         for ItemLimit { host, target, items } in limits {
-            let Some(host) = self.hosts.iter().position(|held| held.id == host) else { continue };
+            let Some(host) = self.hosts.iter().position(|peer| peer.id == host) else { continue };
             let target = self.hosts[host].placement.by_hash(target).map(|target| target.id.clone());
             let Some(target) = target else { continue };
-            let here = self.targets[target_index(&target)].works();
-            let mut running: Vec<(Instant, usize)> = here
-                .map(|at| (at, &self.works[at]))
-                .filter(|(_, work)| work.is_wanted && work.host == host)
-                .filter_map(|(at, work)| match work.owner {
-                    Owner::Item { due, .. } => Some((due, at)),
-                    Owner::Caller { .. } => None,
+            let at_target = self.targets[target_index(&target)].attempts();
+            let mut running: Vec<(Instant, usize)> = at_target
+                .map(|index| (index, &self.attempts[index]))
+                .filter(|(_, attempt)| attempt.is_wanted && attempt.host == host)
+                .filter_map(|(index, attempt)| match attempt.kind {
+                    AttemptKind::Item { due, .. } => Some((due, index)),
+                    AttemptKind::Request { .. } => None,
                 })
                 .collect();
             running.sort();
-            for (_, work) in running.into_iter().skip(items as usize).rev() {
-                self.stop_item(work);
+            for (_, attempt) in running.into_iter().skip(items as usize).rev() {
+                self.preempt_item(attempt);
             }
         }
     }
