--- a/tests/testsuite/src/lib.rs
+++ b/tests/testsuite/src/lib.rs
@@ -1,1 +1,1 @@
-//! Holds the tests of the whole; it has no code of its own.
+//! Package of the tests of the whole system; it has no code of its own.
--- a/tests/testsuite/tests/testsuite/main.rs
+++ b/tests/testsuite/tests/testsuite/main.rs
@@ -1,5 +1,6 @@
-//! Tests of the whole system over its real borders: daemons on loopback, each on a runtime of its
-//! own that can be ended as a kill would end it, a shared platform stand-in and engines.
+//! Tests of the whole system over its real network interfaces: daemons on loopback, a shared stand-in
+//! of the platform, and stand-ins of engines. Each daemon has a runtime of its own, so that a test can
+//! stop it abruptly, as a kill does.
 
 mod support;
 
--- a/tests/testsuite/tests/testsuite/support.rs
+++ b/tests/testsuite/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! Fixtures: a fleet of daemons with stand-ins, and a caller.
+//! Fixtures: a fleet of daemons with stand-ins of the platform and of engines, and a client.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,18 +16,21 @@
 use serde_json::{Value, json};
 use tokio::runtime::{Builder, Runtime};
 
-/// The model of the engines.
+/// Model that the engines serve.
 pub(crate) const MODEL: &str = "villancico-llm";
-/// The team that most tests call as.
+/// Team whose key most tests use.
 pub(crate) const TEAM: &str = "parish-desk";
 
-/// No wait of a test is longer; a healthy run needs a small part of it.
-const WAIT_LIMIT: Duration = Duration::from_secs(60);
-const WAIT_PAUSE: Duration = Duration::from_millis(20);
-const CALL_LIMIT: Duration = Duration::from_secs(30);
-const MOST_BODY_BYTES: usize = 64 << 20;
+/// Timeout of each wait in a test; a healthy run needs a small part of it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Pause between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of a call for the connection, for the first byte and for the body.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum size of a response's body.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Settings with short intervals, so that tests need not wait for those of real hosts.
+/// Settings with short intervals; with the defaults, tests would wait much longer.
 const SETTINGS: &str = r#"{
   "caller-address": "127.0.0.1:0",
   "operator-address": "127.0.0.1:0",
@@ -50,7 +53,7 @@
 }
 
 impl TestHost {
-    /// Ends it as kill -9 would: nothing of it runs on.
+    /// Stops the host as `kill -9` does: none of its tasks continues.
     pub(crate) fn kill(&mut self) {
         drop(self.daemon.take());
         if let Some(runtime) = self.runtime.take() {
@@ -58,7 +61,7 @@
         }
     }
 
-    /// Ends it as SIGTERM would.
+    /// Stops the host gracefully, as SIGTERM does.
     pub(crate) fn leave(&mut self) {
         if let (Some(runtime), Some(daemon)) = (&self.runtime, self.daemon.take()) {
             runtime.block_on(daemon.leave());
@@ -72,7 +75,7 @@
     }
 }
 
-/// An answer, read whole.
+/// A complete answer.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
@@ -89,31 +92,32 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The numbered code of a refusal.
+    /// Returns the `cuminramp_code` of an error, or 0 if there is none.
     pub(crate) fn code(&self) -> u64 {
         self.json()["error"]["cuminramp_code"].as_u64().unwrap_or_default()
     }
 
+    /// Returns whether the request ran, as the answer's header states it.
     pub(crate) fn execution(&self) -> String {
         self.headers["cuminramp-execution"].to_str().unwrap().to_owned()
     }
 
-    /// The words of a streamed answer, and whether the stream ended whole.
+    /// Returns the text of a streamed answer and whether the stream ended with `[DONE]`.
     pub(crate) fn streamed(&self) -> (String, bool) {
         let text = self.text();
         let events = text.lines().filter_map(|line| line.strip_prefix("data: "));
-        let mut words = String::new();
-        let mut whole = false;
+        let mut content = String::new();
+        let mut is_complete = false;
         for event in events {
-            whole |= event == "[DONE]";
+            is_complete |= event == "[DONE]";
             let chunk: Value = serde_json::from_str(event).unwrap_or(Value::Null);
-            words.push_str(chunk["choices"][0]["delta"]["content"].as_str().unwrap_or_default());
+            content.push_str(chunk["choices"][0]["delta"]["content"].as_str().unwrap_or_default());
         }
-        (words, whole)
+        (content, is_complete)
     }
 }
 
-/// Daemons, engines and the platform stand-in.
+/// A fleet of daemons, with engines and the stand-in of the platform.
 pub(crate) struct Fleet {
     pub(crate) runtime: Runtime,
     pub(crate) platform: Arc<MemoryPlatform>,
@@ -123,7 +127,7 @@
     client: HttpClient,
 }
 
-/// How a fleet is built.
+/// Size of a fleet, limits of its team and settings of its engines.
 pub(crate) struct FleetPlan {
     pub(crate) hosts: usize,
     pub(crate) engines: usize,
@@ -165,24 +169,24 @@
 }
 
 impl Fleet {
-    /// A fleet of `hosts` hosts and three engines, with a team that may do anything.
+    /// Starts a fleet of `hosts` hosts and three engines, with a team whose rate never limits a test.
     pub(crate) fn start(hosts: usize) -> Self {
         Self::start_plan(FleetPlan { hosts, ..FleetPlan::default() })
     }
 
-    /// A fleet as planned, ready to serve.
+    /// Starts a fleet and waits until it is ready to serve.
     pub(crate) fn start_plan(plan: FleetPlan) -> Self {
         let mut fleet = Self::start_stand_ins(&plan);
         for _ in 0..plan.hosts {
             fleet.add_host();
         }
-        fleet.wait("hosts know each other", |fleet| {
+        fleet.wait("every host sees all hosts alive", |fleet| {
             (0..fleet.hosts.len()).all(|host| fleet.live_hosts(host) == fleet.hosts.len())
         });
         fleet.declare(&fleet.declarations(plan.rate, plan.burst));
         fleet.key = fleet.grant(0, TEAM);
         fleet.wait_for_key();
-        fleet.wait("shards are owned", |fleet| fleet.all_shards_owned());
+        fleet.wait("all shards are owned", |fleet| fleet.all_shards_owned());
         fleet
     }
 
@@ -197,7 +201,7 @@
             }
             (platform, engines)
         });
-        let limits = CallLimits { connect: CALL_LIMIT, first_byte: CALL_LIMIT };
+        let limits = CallLimits { connect: CALL_TIMEOUT, first_byte: CALL_TIMEOUT };
         Fleet {
             runtime,
             platform,
@@ -208,7 +212,8 @@
         }
     }
 
-    /// One host that waits for long before it claims shards, with a key in force.
+    /// Starts one host with a key in force that claims no shards for a long time, because it seldom polls
+    /// the host list.
     pub(crate) fn start_unready() -> Self {
         let plan = FleetPlan { hosts: 0, ..FleetPlan::default() };
         let mut fleet = Self::start_stand_ins(&plan);
@@ -221,12 +226,13 @@
         fleet
     }
 
-    /// Starts one more host.
+    /// Starts one more host and returns its index.
     pub(crate) fn add_host(&mut self) -> usize {
         let settings = test_settings(self.hosts.len() % 3);
         self.add_host_with(settings)
     }
 
+    /// Starts one more host with these settings and returns its index.
     pub(crate) fn add_host_with(&mut self, settings: DaemonSettings) -> usize {
         let runtime = new_runtime();
         let platform = self.platform.clone();
@@ -241,6 +247,7 @@
         self.hosts.len() - 1
     }
 
+    /// Returns declarations of the fleet's engines, with this rate and burst for the team.
     pub(crate) fn declarations(&self, rate: f64, burst: f64) -> Value {
         let targets: Vec<Value> = self
             .engines
@@ -267,12 +274,12 @@
         })
     }
 
-    /// Opens a link that can fail.
+    /// Opens a link into which faults can be injected.
     pub(crate) fn open_link(&self) -> FaultyLink {
         self.runtime.block_on(FaultyLink::open()).unwrap()
     }
 
-    /// Starts one more host, which other hosts reach through a link that can fail.
+    /// Starts one more host, which other hosts reach through the link.
     pub(crate) fn add_host_behind(&mut self, link: &FaultyLink) -> usize {
         let settings = test_settings(self.hosts.len() % 3);
         let host = self.add_host_with(DaemonSettings {
@@ -283,14 +290,14 @@
         host
     }
 
-    /// Makes declarations the next generation.
+    /// Applies declarations as the next generation.
     pub(crate) fn declare(&self, declarations: &Value) {
         let answer =
             self.operator(0, Method::PUT, "/operator/declarations", &declarations.to_string());
         assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
     }
 
-    /// Grants a key through a host.
+    /// Grants a key to a team through a host and returns it.
     pub(crate) fn grant(&self, host: usize, team: &str) -> String {
         let body = json!({"team": team}).to_string();
         let answer = self.operator(host, Method::POST, "/operator/keys", &body);
@@ -308,14 +315,14 @@
         self.call_as(host, key, Method::GET, "/v1/models", "", &[])
     }
 
-    /// How many hosts a host would send callers to.
+    /// Returns the number of hosts that a host sees as alive and would send callers to.
     pub(crate) fn live_hosts(&self, host: usize) -> usize {
         let hosts = self.operator(host, Method::GET, "/operator/hosts", "").json();
         let hosts = hosts["hosts"].as_array().cloned().unwrap_or_default();
         hosts.iter().filter(|host| host["status"] == "alive").count()
     }
 
-    /// Whether all of a team's shards have an owner that every live host names.
+    /// Returns whether every shard of the first team has an owner and all running hosts agree on it.
     pub(crate) fn all_shards_owned(&self) -> bool {
         let views = (0..self.hosts.len()).filter(|host| self.hosts[*host].daemon.is_some());
         let views: Vec<Value> = views
@@ -328,12 +335,16 @@
         views.iter().all(|view| owned(view) && view["teams"] == views[0]["teams"])
     }
 
-    /// Waits until something holds.
-    pub(crate) fn wait(&self, what: &str, holds: impl Fn(&Fleet) -> bool) {
+    /// Waits until a condition holds.
+    ///
+    /// # Panics
+    ///
+    /// If it doesn't hold within [`WAIT_TIMEOUT`].
+    pub(crate) fn wait(&self, what: &str, condition: impl Fn(&Fleet) -> bool) {
         let started = std::time::Instant::now();
-        while !holds(self) {
-            assert!(started.elapsed() < WAIT_LIMIT, "in vain: {what}");
-            std::thread::sleep(WAIT_PAUSE);
+        while !condition(self) {
+            assert!(started.elapsed() < WAIT_TIMEOUT, "timed out waiting until {what}");
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -351,19 +362,19 @@
         self.runtime.block_on(async {
             let response = self.client.send(request).await.ok()?;
             let (head, body) = response.into_parts();
-            let body = read_body(body, MOST_BODY_BYTES, CALL_LIMIT).await.ok()?;
+            let body = read_body(body, MAX_BODY_BYTES, CALL_TIMEOUT).await.ok()?;
             Some(Answer { status: head.status, headers: head.headers, body })
         })
     }
 
-    /// Calls a host's operator interface.
+    /// Calls the operator interface of a host.
     pub(crate) fn operator(&self, host: usize, method: Method, path: &str, body: &str) -> Answer {
         let address = self.hosts[host].addresses.operator;
         let request = Request::builder().method(method).header("content-type", "application/json");
         self.send(address, request, path, body).unwrap_or_else(|| panic!("{path}: no answer"))
     }
 
-    /// Calls a host as a caller with a key; `None` where the connection breaks.
+    /// Calls a host with a key; returns `None` if the connection breaks.
     pub(crate) fn try_call(
         &self,
         host: usize,
@@ -384,6 +395,7 @@
         self.send(address, request, path, body)
     }
 
+    /// Calls a host with a key and headers.
     pub(crate) fn call_as(
         &self,
         host: usize,
@@ -397,22 +409,23 @@
             .unwrap_or_else(|| panic!("{path}: no answer"))
     }
 
+    /// Calls a host with the key of [`TEAM`].
     pub(crate) fn call(&self, host: usize, method: Method, path: &str, body: &str) -> Answer {
         self.call_as(host, &self.key, method, path, body, &[])
     }
 
-    /// Asks for a chat completion.
+    /// Requests a chat completion from a host.
     pub(crate) fn chat(&self, host: usize, prompt: &str, tokens: usize, stream: bool) -> Answer {
         self.call(host, Method::POST, "/v1/chat/completions", &chat_body(prompt, tokens, stream))
     }
 
-    /// Asks an address for a streamed chat completion.
+    /// Requests a streamed chat completion from an address.
     pub(crate) fn stream_from(&self, address: SocketAddr, prompt: &str, tokens: usize) -> Answer {
         let request = Request::builder()
             .method(Method::POST)
             .header("authorization", format!("Bearer {}", self.key));
         let body = chat_body(prompt, tokens, true);
-        self.send(address, request, "/v1/chat/completions", &body).expect("the stream breaks off")
+        self.send(address, request, "/v1/chat/completions", &body).expect("the stream failed")
     }
 
     /// Uploads items and creates a job; returns its identifier.
@@ -438,13 +451,13 @@
         self.call(host, Method::GET, &format!("/v1/batches/{id}"), "").json()
     }
 
-    /// Waits for a job's end and returns it.
+    /// Waits until a job is no longer in progress and returns it.
     pub(crate) fn finished_job(&self, host: usize, id: &str) -> Value {
         self.wait("the job ends", |fleet| fleet.job(host, id)["status"] != "in_progress");
         self.job(host, id)
     }
 
-    /// The lines of a job's output or error file, by the names of their items.
+    /// Returns the lines of a job's output or error file, sorted by the names of their items.
     pub(crate) fn job_lines(&self, host: usize, job: &Value, file: &str) -> Vec<(String, Value)> {
         let Some(id) = job[file].as_str() else { return Vec::new() };
         let answer = self.call(host, Method::GET, &format!("/v1/files/{id}/content"), "");
@@ -472,14 +485,14 @@
     .to_string()
 }
 
-/// The line of a batch item.
+/// Returns the input line of a batch item.
 pub(crate) fn item_line(name: &str, prompt: &str) -> String {
     let body: Value = serde_json::from_str(&chat_body(prompt, 4, false)).unwrap();
     json!({"custom_id": name, "method": "POST", "url": "/v1/chat/completions", "body": body})
         .to_string()
 }
 
-/// Lines of `count` items with names and prompts of their own.
+/// Returns the input lines of `count` items, each with its own name and prompt.
 pub(crate) fn item_lines(count: usize) -> String {
     let lines =
         (0..count).map(|index| item_line(&format!("item-{index:05}"), &format!("prompt {index}")));
