--- a/tests/testsuite/tests/testsuite/batch.rs
+++ b/tests/testsuite/tests/testsuite/batch.rs
@@ -6,7 +6,7 @@
 
 use crate::support::{Fleet, FleetPlan, item_line, item_lines};
 
-/// Asserts that a job has one right answer for each of `count` items.
+/// Asserts that a job is completed, with one correct result for each of `count` items.
 fn assert_complete(fleet: &Fleet, host: usize, job: &Value, count: usize) {
     assert_eq!(job["status"], "completed", "{job}");
     let lines = fleet.job_lines(host, job, "output_file_id");
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn each_item_has_one_result_and_a_bad_line_its_own_error() {
+fn each_item_gets_one_result_and_each_bad_line_its_own_error() {
     let fleet = Fleet::start(3);
     let unknown = item_line("odd", "x").replace("villancico-llm", "unknown-llm");
     let lines = format!("{}\n{{broken\n{unknown}\n", item_lines(40));
@@ -37,13 +37,13 @@
     assert_eq!(codes, [("line-41", 1008), ("odd", 1004)]);
 }
 
-// A host dies in the middle of a job, with leases and finished items in hand. The job would stand
-// still, or items would be answered twice.
+// A host is killed while it runs a job, with leases and with finished items that it has yet to commit.
+// The job could stall, or items could get two results.
 #[test]
-fn a_job_survives_the_death_of_a_host() {
+fn a_job_completes_after_its_host_is_killed() {
     let mut fleet = Fleet::start(3);
     let id = fleet.create_job(2, &item_lines(600));
-    fleet.wait("some of it is done", |fleet| {
+    fleet.wait("some items are completed", |fleet| {
         fleet.job(0, &id)["request_counts"]["completed"].as_u64() > Some(50)
     });
 
@@ -53,10 +53,10 @@
     assert_complete(&fleet, 1, &job, 600);
 }
 
-// The table loses the answers of half of its writes and is down for a while. Items would be lost, or
-// committed twice by a host that does not know that its write took effect.
+// The answers to half of the table's writes are lost, and for 700 ms the platform's stores are down. Items
+// could be lost, or committed twice by a host whose write took effect without an answer.
 #[test]
-fn a_job_survives_lost_answers_and_an_outage() {
+fn a_job_completes_despite_lost_answers_and_an_outage() {
     let fleet = Fleet::start(3);
     let id = fleet.create_job(0, &item_lines(300));
 
@@ -71,9 +71,10 @@
     assert_complete(&fleet, 1, &fleet.job(1, &id), 300);
 }
 
-// A caller gets no answer and sends the whole job again, through another host.
+// A caller that received no answer submits the same job again through another host. Its items must not
+// run twice.
 #[test]
-fn a_job_that_is_sent_again_is_the_same_job() {
+fn a_job_that_is_submitted_again_is_the_same_job() {
     let fleet = Fleet::start(2);
     let lines = item_lines(20);
 
@@ -88,20 +89,20 @@
 }
 
 #[test]
-fn a_cancelled_job_stops_for_good_and_keeps_what_it_had() {
+fn a_cancelled_job_stops_and_keeps_its_results() {
     let fleet = Fleet::start_plan(FleetPlan {
         engine: EngineSettings { step_base_us: 20_000, slots: 2, ..FleetPlan::default().engine },
         ..FleetPlan::default()
     });
     let id = fleet.create_job(0, &item_lines(2_000));
-    fleet.wait("some of it is done", |fleet| {
+    fleet.wait("some items are completed", |fleet| {
         fleet.job(0, &id)["request_counts"]["completed"].as_u64() > Some(0)
     });
 
     let path = format!("/v1/batches/{id}/cancel");
     let cancelled = fleet.call(1, Method::POST, &path, "").json();
     let ran = || fleet.engines.iter().map(|engine| engine.stats().requests).sum::<u64>();
-    fleet.wait("engines get nothing more", |_| {
+    fleet.wait("the engines receive no more items", |_| {
         let before = ran();
         std::thread::sleep(std::time::Duration::from_millis(500));
         ran() == before
@@ -114,7 +115,7 @@
     assert_eq!(Some(lines.len() as u64), job["request_counts"]["completed"].as_u64());
 }
 
-// The table is down for hours; results that were promised have to stay readable.
+// Results of completed jobs have to stay readable during an outage of the table, which may last hours.
 #[test]
 fn results_are_readable_while_the_table_is_down() {
     let fleet = Fleet::start(2);
@@ -126,13 +127,13 @@
     assert_eq!(fleet.job_lines(1, &job, "output_file_id").len(), 20);
 }
 
-// Another team learns of a job's identifiers. It must see neither the job nor its results.
+// Another team obtains the identifiers of a job and its files. It must be able to read none of them.
 #[test]
-fn another_team_sees_nothing_of_a_job() {
+fn another_team_cannot_read_a_job() {
     let fleet = Fleet::start(1);
     let id = fleet.create_job(0, &item_lines(5));
     let job = fleet.finished_job(0, &id);
-    let stranger = fleet.grant(0, "boat-desk");
+    let other_key = fleet.grant(0, "boat-desk");
 
     let output = job["output_file_id"].as_str().unwrap();
     for path in [
@@ -141,15 +142,15 @@
         format!("/v1/files/{output}/content"),
         format!("/v1/files/{}/content", job["input_file_id"].as_str().unwrap()),
     ] {
-        let answer = fleet.call_as(0, &stranger, Method::GET, &path, "", &[]);
+        let answer = fleet.call_as(0, &other_key, Method::GET, &path, "", &[]);
         assert_eq!(answer.status, StatusCode::NOT_FOUND, "{path}");
     }
 }
 
-// A job of one model runs on hosts whose engines serve another. A host that leased its chunks and
-// could run none of them would hold them for ever, with idle engines beside it.
+// There are more hosts than engines. A host that leased chunks of a job and could run none of them, because
+// its engines serve another model, would hold these leases forever while other engines idle.
 #[test]
-fn hosts_without_engines_of_their_own_hold_no_chunk_back() {
+fn hosts_without_engines_do_not_hold_chunks() {
     let fleet = Fleet::start_plan(FleetPlan { hosts: 6, engines: 1, ..FleetPlan::default() });
 
     let id = fleet.create_job(0, &item_lines(200));
--- a/tests/testsuite/tests/testsuite/crashes.rs
+++ b/tests/testsuite/tests/testsuite/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests and items that kill the targets that run them.
+//! Poison requests and poison items, which crash the targets that run them.
 
 use http::StatusCode;
 
@@ -6,8 +6,8 @@
 
 const POISON: &str = "CRASH-THE-ENGINE now";
 
-// One request kills each engine that runs it, and its caller sends it again and again through every
-// host. Without a bound the whole pool would go down.
+// A poison request crashes each engine that runs it, and its caller retries it through every host. Without
+// a bound on its crashes, the whole pool would go down.
 #[test]
 fn a_request_that_kills_engines_takes_at_most_two() {
     let fleet = Fleet::start(3);
@@ -22,10 +22,10 @@
     assert_eq!(answers.last().unwrap().execution(), "not run");
 }
 
-// A poison item kills the engines that run it, with its neighbours in flight. The neighbours have
-// done nothing and must be answered.
+// A poison item crashes the engines that run it while other items are in flight there. The other items must
+// still be completed.
 #[test]
-fn a_poison_item_ends_with_its_own_error_and_the_rest_is_done() {
+fn a_poison_item_gets_its_own_error_and_the_other_items_are_completed() {
     let fleet = Fleet::start(3);
     let lines = format!("{}\n{}\n", item_lines(60), item_line("poison", POISON));
 
