--- a/tests/testsuite/tests/testsuite/refusals.rs
+++ b/tests/testsuite/tests/testsuite/refusals.rs
@@ -1,4 +1,4 @@
-//! Bad input: each has a numbered code, says truly that nothing ran, and loses nothing.
+//! Bad input: each kind is refused with its own code, is reported as not run, and has no other effect.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -56,8 +56,8 @@
     assert_eq!(answer.code(), code);
 }
 
-// Two keys come with one request, one of them from a proxy that adds its own. Taken by the first, the
-// request would run for a team that did not send it.
+// A request carries two keys, one of them added by a proxy. If the first one were used, the request could run
+// for a team that didn't send it.
 #[test]
 fn a_request_with_two_keys_is_refused_as_ambiguous() {
     let fleet = Fleet::start(1);
@@ -80,18 +80,19 @@
     String::from_utf8_lossy(&text).into_owned()
 }
 
-// A caller sends half a request and goes silent. Each such caller would hold a connection for good.
+// A caller sends part of a request and nothing more. Without timeouts, each such caller would hold
+// a connection forever.
 #[test]
-fn half_sent_requests_are_given_up() {
+fn incomplete_requests_time_out() {
     let fleet = Fleet::start(1);
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {}\r\ncontent-length: 100\r\n\r\n{{\"mo",
         fleet.key
     );
 
-    let half_head = send_raw(&fleet, "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthor");
-    let half_body = send_raw(&fleet, &head);
+    let partial_head = send_raw(&fleet, "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthor");
+    let partial_body = send_raw(&fleet, &head);
 
-    assert!(!half_head.contains("200 OK"), "{half_head}");
-    assert!(half_body.contains("cuminramp-code: 1003"), "{half_body}");
+    assert!(!partial_head.contains("200 OK"), "{partial_head}");
+    assert!(partial_body.contains("cuminramp-code: 1003"), "{partial_body}");
 }
--- a/tests/testsuite/tests/testsuite/services.rs
+++ b/tests/testsuite/tests/testsuite/services.rs
@@ -1,4 +1,4 @@
-//! Plain services, and calls that may not be repeated.
+//! Calls to plain services, and calls that must not run twice.
 
 use cuminramp_standin::PlatformFaults;
 use http::Method;
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn any_method_and_body_reach_a_service_the_key_does_not_and_its_headers_come_back() {
+fn a_service_receives_method_and_body_but_no_key_and_its_headers_are_returned() {
     let fleet = Fleet::start(1);
 
     for method in [Method::GET, Method::PUT, Method::DELETE, Method::PATCH] {
@@ -33,24 +33,24 @@
     }
 }
 
-// A caller gets no answer to a booking and sends it again through other hosts.
+// A caller that received no answer to a booking sends it again through other hosts.
 #[test]
-fn a_booking_that_is_sent_again_elsewhere_runs_once_and_gets_its_answer() {
+fn a_booking_that_is_retried_at_other_hosts_runs_once_and_returns_its_answer() {
     let fleet = Fleet::start(3);
 
     let first = book(&fleet, 0, "booking-1");
-    let mut again = Vec::new();
-    fleet.wait("the answer is kept", |fleet| book(fleet, 1, "booking-1").status == 200);
-    again.push(book(&fleet, 1, "booking-1"));
-    again.push(book(&fleet, 2, "booking-1"));
+    let mut retries = Vec::new();
+    fleet.wait("the answer is stored", |fleet| book(fleet, 1, "booking-1").status == 200);
+    retries.push(book(&fleet, 1, "booking-1"));
+    retries.push(book(&fleet, 2, "booking-1"));
 
     assert_eq!(bookings(&fleet), 1);
-    assert!(again.iter().all(|answer| answer.body == first.body));
+    assert!(retries.iter().all(|answer| answer.body == first.body));
 }
 
-// The same key comes with another request, by a caller's mistake.
+// A caller mistakenly reuses an idempotency key for a different request.
 #[test]
-fn a_key_that_names_another_request_is_refused() {
+fn an_idempotency_key_of_another_request_is_refused() {
     let fleet = Fleet::start(1);
     book(&fleet, 0, "booking-1");
 
@@ -61,24 +61,24 @@
     assert_eq!(bookings(&fleet), 1);
 }
 
-// The service takes the booking and falls silent. Sent again, it might be confirmed twice; called
-// "not run", its caller would book anew.
+// The service accepts the booking and never answers. If the booking were sent again, it could be confirmed
+// twice; if it were reported as "not run", its caller would make a second one.
 #[test]
-fn a_booking_without_an_answer_may_have_run_and_is_never_sent_again() {
+fn a_booking_without_an_answer_may_have_run_and_is_not_sent_again() {
     let fleet = Fleet::start(2);
     fleet.engines[0].set_silent(true);
 
     let first = book(&fleet, 0, "booking-1");
     fleet.engines[0].set_silent(false);
-    let again = book(&fleet, 1, "booking-1");
+    let retry = book(&fleet, 1, "booking-1");
 
     assert_eq!(first.execution(), "may have run");
-    assert_eq!(again.code(), 1305);
-    assert_ne!(again.execution(), "not run");
+    assert_eq!(retry.code(), 1305);
+    assert_ne!(retry.execution(), "not run");
     assert_eq!(bookings(&fleet), 0);
 }
 
-// The table is down, so nobody can know whether the booking was begun elsewhere.
+// While the table is down, a host can't find out whether another host has started the booking.
 #[test]
 fn without_the_table_a_booking_is_not_run() {
     let fleet = Fleet::start(1);
@@ -95,10 +95,10 @@
     assert_eq!(bookings(&fleet), 1);
 }
 
-// The answers of all writes are lost after they took effect. A host that took its own mark for
-// another's would refuse the booking for good; one that ignored marks might run it twice.
+// The answers to all writes are lost after the writes took effect. A host that mistook its own start mark
+// for another host's would refuse the booking forever; one that ignored start marks could run it twice.
 #[test]
-fn a_booking_whose_mark_lost_its_answer_runs_once() {
+fn a_booking_runs_once_if_the_answer_to_its_start_mark_is_lost() {
     let fleet = Fleet::start(2);
     fleet
         .set_platform(PlatformFaults { lost_answers_permille: 1_000, ..PlatformFaults::default() });
