--- a/tests/testsuite/tests/testsuite/quota.rs
+++ b/tests/testsuite/tests/testsuite/quota.rs
@@ -1,4 +1,4 @@
-//! Rate and burst over all hosts.
+//! Rate and burst of a team over all hosts.
 
 use std::time::{Duration, Instant};
 
@@ -9,14 +9,14 @@
 
 const RATE: f64 = 20.0;
 const BURST: f64 = 30.0;
-/// A healthy run takes a small part of it.
-const FLOOD_LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of the flood of requests; a healthy run needs a small part of it.
+const FLOOD_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn fleet(hosts: usize) -> Fleet {
     Fleet::start_plan(FleetPlan { hosts, rate: RATE, burst: BURST, ..FleetPlan::default() })
 }
 
-/// Calls all hosts in turn as fast as they answer; returns how many requests were admitted.
+/// Calls the hosts in turn as fast as they answer; returns the number of admitted requests.
 fn flood(fleet: &Fleet, hosts: std::ops::Range<usize>, time: Duration) -> usize {
     let started = Instant::now();
     let mut admitted = 0;
@@ -42,13 +42,14 @@
     admitted
 }
 
-/// What the team may have over a time, with one request for the rounding of the clock.
-fn most(started: Instant) -> usize {
+/// Returns the maximum number of requests admitted since `started`; one of them allows for the rounding
+/// of the clock.
+fn max_admitted(started: Instant) -> usize {
     (BURST + RATE * started.elapsed().as_secs_f64()) as usize + 1
 }
 
-// One team sends many times its rate through all hosts at once. If each host counted for itself, it
-// would get its rate as often as there are hosts.
+// A team sends many times its rate through all hosts at once. If each host applied the rate by itself, the
+// team would get it once per host.
 #[test]
 fn a_team_gets_its_rate_and_burst_once_over_all_hosts() {
     let fleet = fleet(5);
@@ -57,15 +58,15 @@
     let mut admitted = 0;
     while admitted < 2 * BURST as usize {
         admitted += flood(&fleet, 0..5, Duration::from_millis(500));
-        assert!(admitted <= most(started), "{admitted} admitted");
-        assert!(started.elapsed() < FLOOD_LIMIT, "only {admitted} admitted");
+        assert!(admitted <= max_admitted(started), "{admitted} admitted");
+        assert!(started.elapsed() < FLOOD_TIMEOUT, "only {admitted} admitted");
     }
 }
 
-// All of a team's callers connect to one host, which holds only a third of its rate. That it can
-// spend all of it is proved on the paused clock beside the ledger; here real hosts lend to it.
+// All callers of a team connect to one host, which owns only a third of the team's rate. Tests of the ledger
+// with a paused clock cover that one host can use the full rate; here real hosts lend tokens to it.
 #[test]
-fn a_team_whose_callers_use_one_host_gets_more_than_that_hosts_part() {
+fn a_team_whose_callers_use_one_host_gets_more_than_the_share_of_that_host() {
     let fleet = fleet(5);
 
     let tries = 0..BURST as usize;
@@ -75,10 +76,10 @@
     assert!(admitted as f64 > BURST / 3.0, "{admitted} admitted");
 }
 
-// A host is killed and starts again, and the platform's store is down all the while. If a new run
-// began with a full bucket, each restart would give the team its burst again.
+// A host is killed during an outage of the platform's stores, and a host starts after it. If a host started
+// with a full bucket, each restart would grant the team its burst again.
 #[test]
-fn restarts_and_outages_mint_no_tokens() {
+fn restarts_and_outages_add_no_tokens() {
     let mut fleet = fleet(4);
     let started = Instant::now();
     let mut admitted = flood(&fleet, 0..4, Duration::from_millis(500));
@@ -89,16 +90,16 @@
     fleet.set_platform(PlatformFaults::default());
     let host = fleet.add_host();
     admitted += flood(&fleet, 0..3, Duration::from_millis(1_500));
-    fleet.wait("it serves", |fleet| fleet.models(host, &fleet.key).status == StatusCode::OK);
+    fleet.wait("the host serves", |fleet| fleet.models(host, &fleet.key).status == StatusCode::OK);
     admitted += flood(&fleet, host..host + 1, Duration::from_millis(500));
 
-    assert!(admitted <= most(started), "{admitted} admitted");
+    assert!(admitted <= max_admitted(started), "{admitted} admitted");
 }
 
-// All hosts start at once, as after a power cut, and callers are back before the hosts have shared out
-// the rate. Informed that they are above their rate, they would look for a fault of their own.
+// All hosts start at once, as after a power cut, and callers return before the shards of the rate are
+// claimed. If the answer were that they exceed their rate, they would look for an error on their side.
 #[test]
-fn callers_who_come_before_the_rate_is_shared_out_are_told_so() {
+fn requests_before_shards_are_claimed_get_a_distinct_error() {
     let fleet = Fleet::start_unready();
 
     let answer = fleet.chat(0, "hall", 1, false);
