--- a/tests/testsuite/tests/testsuite/connections.rs
+++ b/tests/testsuite/tests/testsuite/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent, and links that are cut.
+//! Connections that fall silent (no more bytes arrive), and links that are cut.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 
 use crate::support::Fleet;
 
-// Something between a host and an engine forgets the connections that are open: they stay silent for
-// good while new ones work. Requests would time out one after another, one for each pooled connection.
+// A middlebox between a host and an engine loses the state of open connections: these stay silent for good,
+// while new ones work. Requests would time out one after another, one for each pooled connection.
 #[test]
-fn pooled_connections_to_an_engine_that_went_silent_cost_no_request() {
+fn silent_pooled_connections_to_an_engine_fail_no_request() {
     let fleet = Fleet::start(1);
     let link = fleet.open_link();
     link.set_server(fleet.engines[0].address());
@@ -32,35 +32,36 @@
     }
 }
 
-// The same happens between two hosts. Each would hold the other for dead although both serve.
+// A middlebox between two hosts loses the state of open connections. Each host would consider the other
+// dead although both serve.
 #[test]
 fn silent_connections_between_hosts_are_replaced() {
     let mut fleet = Fleet::start(2);
     let link = fleet.open_link();
     let host = fleet.add_host_behind(&link);
-    fleet.wait("all know each other", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
+    fleet.wait("all see three alive", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
 
     link.freeze_open();
     std::thread::sleep(Duration::from_millis(500));
 
-    fleet.wait("all hold each other for alive", |fleet| {
+    fleet.wait("every host sees three alive again", |fleet| {
         (0..3).all(|host| fleet.live_hosts(host) == 3)
     });
     assert!(fleet.chat(host, "hall", 4, true).streamed().1);
 }
 
-// A host hears others and nobody hears it. It must vanish from what callers learn, and come back
-// once the link is mended, without a restart.
+// A host reaches the others, but they don't reach it: no bytes arrive on connections to it. It must no longer
+// be listed for callers, and be listed again without a restart once the link works.
 #[test]
-fn a_host_that_nobody_reaches_leaves_the_answers_until_the_link_is_mended() {
+fn a_host_that_no_other_reaches_is_not_listed_until_the_link_works() {
     let mut fleet = Fleet::start(2);
     let link = fleet.open_link();
     fleet.add_host_behind(&link);
-    fleet.wait("all know each other", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
+    fleet.wait("all see three alive", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
 
     link.set_mode(LinkMode::SilentForward);
-    fleet.wait("it is named no more", |fleet| (0..2).all(|host| fleet.live_hosts(host) == 2));
+    fleet.wait("the others see two alive", |fleet| (0..2).all(|host| fleet.live_hosts(host) == 2));
     link.set_mode(LinkMode::Open);
 
-    fleet.wait("it is back", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
+    fleet.wait("all see three alive", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
 }
--- a/tests/testsuite/tests/testsuite/online.rs
+++ b/tests/testsuite/tests/testsuite/online.rs
@@ -8,23 +8,23 @@
 use crate::support::{Fleet, FleetPlan};
 
 #[test]
-fn every_host_streams_whole_answers_of_their_own() {
+fn every_host_returns_complete_answers_streamed_or_not() {
     let fleet = Fleet::start(3);
 
     for host in 0..3 {
         let prompt = format!("seats in hall {host}");
         let streamed = fleet.chat(host, &prompt, 12, true).streamed();
-        let whole = fleet.chat(host, &prompt, 12, false).json();
+        let complete = fleet.chat(host, &prompt, 12, false).json();
 
         assert_eq!(streamed, (expected_answer(&prompt, 12), true));
-        assert_eq!(whole["choices"][0]["message"]["content"], expected_answer(&prompt, 12));
+        assert_eq!(complete["choices"][0]["message"]["content"], expected_answer(&prompt, 12));
     }
 }
 
-// An engine dies in the middle of many streams. Callers would read half an answer, or its start
-// twice, if the stream were begun again.
+// An engine crashes while it streams answers. Callers would receive an incomplete answer or, if the stream
+// were restarted, its beginning twice.
 #[test]
-fn streams_go_on_at_the_same_token_when_their_engine_dies() {
+fn streams_resume_at_the_same_token_after_their_engine_crashes() {
     let fleet = Fleet::start_plan(FleetPlan {
         engine: EngineSettings { step_base_us: 10_000, ..FleetPlan::default().engine },
         ..FleetPlan::default()
@@ -49,9 +49,10 @@
     }
 }
 
-// An engine takes requests and never answers. Callers would wait until their deadline, each anew.
+// An engine accepts requests and never answers. Without retries at other engines, each caller would wait
+// until its deadline.
 #[test]
-fn a_silent_engine_costs_no_request() {
+fn a_silent_engine_fails_no_request() {
     let fleet = Fleet::start(1);
     fleet.engines[1].set_silent(true);
 
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn a_leaving_host_cuts_off_no_stream() {
+fn a_leaving_host_completes_its_streams() {
     let mut fleet = Fleet::start_plan(FleetPlan {
         engine: EngineSettings { step_base_us: 20_000, ..FleetPlan::default().engine },
         ..FleetPlan::default()
@@ -83,8 +84,8 @@
     assert_eq!(answer.streamed(), (expected_answer("evening", 60), true));
 }
 
-// Engines of another make have no load report at the usual path. Taken for silent, all of them would be
-// set aside, and requests in flight on them broken off.
+// Some engines have no load report at the usual path. If they were treated as silent, all of them would be
+// ejected and the requests in flight on them cancelled.
 #[test]
 fn engines_without_load_reports_are_used() {
     let fleet = Fleet::start_plan(FleetPlan {
