--- a/crates/cuminramp-replay/src/world.rs
+++ b/crates/cuminramp-replay/src/world.rs
@@ -294,7 +294,7 @@
         host.jobs.fail(job, *index, ItemFailure::GaveWay, progress, self.now);
     }
 
-    /// Saves the progress of running items, from which hosts resume after a power loss.
+    /// Saves the progress of items that targets run or queue; hosts resume from it after a power loss.
     fn save_checkpoints(&mut self) {
         if !self.elapsed().as_millis().is_multiple_of(CHECKPOINT_INTERVAL.as_millis()) {
             return;
--- a/tests/testsuite/tests/testsuite/support.rs
+++ b/tests/testsuite/tests/testsuite/support.rs
@@ -212,8 +212,8 @@
         }
     }
 
-    /// Starts one host with a key in force that claims no shards for a long time, because it seldom polls
-    /// the host list.
+    /// Starts one host with a key in force that claims no shards during a test: a new host first waits for
+    /// some reads of the host list, and this one reads it only every ten minutes.
     pub(crate) fn start_unready() -> Self {
         let plan = FleetPlan { hosts: 0, ..FleetPlan::default() };
         let mut fleet = Self::start_stand_ins(&plan);
