--- a/crates/cuminramp-replay/src/world.rs
+++ b/crates/cuminramp-replay/src/world.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 enum AttemptKind {
     Request { arrived_at: Instant, may_retry: bool },
-    Item { job: Name, index: usize, due: Instant, run_time: Duration },
+    Item { job: Name, index: usize, due: Instant, ran: Duration },
 }
 
 /// One send of a request or an item from a host to a target.
@@ -247,7 +247,7 @@
                 self.report.late += u32::from(!is_in_time);
                 self.report.returned += u32::from(!may_retry);
             }
-            AttemptKind::Item { job, index, due, run_time: before } => {
+            AttemptKind::Item { job, index, due, ran: before } => {
                 host.placement.end(&done.target, WorkKind::Batch);
                 let progress = ItemProgress { run_time: *before + ran, ..ItemProgress::default() };
                 host.jobs.complete(job, *index, progress, self.now);
@@ -282,7 +282,7 @@
     /// Preempts an item; its progress stays.
     fn preempt_item(&mut self, attempt: usize) {
         let preempted = self.attempts[attempt].clone();
-        let AttemptKind::Item { job, index, run_time: before, .. } = &preempted.kind else {
+        let AttemptKind::Item { job, index, ran: before, .. } = &preempted.kind else {
             return;
         };
         let ran = self.ran(attempt);
@@ -385,7 +385,7 @@
     }
 }
 
-fn progress_of(run_time: Duration) -> ItemProgress {
+fn progress_of(ran: Duration) -> ItemProgress {
     // One event per millisecond: the job table only checks whether a run made progress.
-    ItemProgress { last_event: Some(ran.as_millis() as u64), text: String::new(), ran }
+    ItemProgress { last_event: Some(ran.as_millis() as u64), text: String::new(), run_time: ran }
 }
--- a/crates/cuminramp-replay/src/world/slots.rs
+++ b/crates/cuminramp-replay/src/world/slots.rs
@@ -59,7 +59,7 @@
     pub(super) fn find_slot(
         &mut self,
         host: usize,
-        request_id: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> PlacementDecision {
         let wait_share = self.owner.placement.wait_share();
         let search_limits = SearchLimits {
