--- a/models/check.sh
+++ b/models/check.sh
@@ -31,16 +31,16 @@
   local wanted=$1 model=$2; shift 2
   local found
   found=$(run "$model" "$@")
-  printf '%-8s %-28s %s\n' "$model" "${*:-as it is}" "$found"
+  printf '%-12s %-28s %s\n' "$model" "${*:-as it is}" "$found"
   case "$found" in "$wanted"*) ;; *) failed=1 ;; esac
 }
 
-for model in tokens chunks marks told accept keeper slots cold drains; do
+for model in tokens chunks marks usage_counts acceptance job_writer slots cold drains; do
   expect holds "$model"
   for mutant in $(grep -oE 'MUTANT_[A-Z_]+' "$model.pml" | sort -u); do
     expect broken "$model" "-D$mutant"
   done
 done
 # The same with tokens that come in, for which there are too many states with a larger burst.
-expect holds told -DBURST=12 -DTICKS=1
+expect holds usage_counts -DBURST=12 -DTICKS=1
 exit "$failed"
