--- a/models/marks.pml
+++ b/models/marks.pml
@@ -1,47 +1,54 @@
 /*
- * Start marks of one request that may not be repeated, sent again through two hosts.
+ * Checks the start marks of one request that may not be repeated and that the caller retries through two
+ * hosts.
  *
- * A host writes the mark on the condition that none stands there, or that the one there says "not
- * run" and has the version it read. Only a host that knows that its own mark stands gives the request
- * to a target. Where the target surely did not run it, the host writes that end, on the condition
- * that its mark still stands. Writes land late, more than once, or lose their answers; hosts crash at
- * any step and forget.
+ * A host writes its mark on the condition that there is none, or that the present one says "not run" and
+ * has the version that the host read. Only a host that knows that its own mark is in the row sends the
+ * request to a target. If the target definitely did not run the request, the host marks it "not run", on
+ * the condition that its own mark is still in the row.
+ *
+ * Assumptions: writes are applied late or more than once, or lose their answers. Hosts crash at any step
+ * and lose their memory.
  *
  * What must hold: the request runs at most once.
  */
 #define WRITERS 4
-#define MAXVERSION 6
+#define MAX_VERSION 6
 
 typedef Writer {
-  byte step;       /* 0 idle, 1 mark sent, 2 mark known to stand, 3 given to a target, 4 over */
-  byte version;    /* that its mark has */
+  byte step;     /* 0 idle, 1 mark sent, 2 mark known to be in the row, 3 sent to a target,
+                    4 finished */
+  byte version;  /* of the row with its mark */
 };
-Writer p[WRITERS];   /* each is one run of one host with one copy of the request */
+Writer writer[WRITERS];   /* each is one incarnation of a host with one copy of the request */
 
 /* the row */
-byte mark = 255;     /* whose mark stands; 255: none */
-bool notrun = false;
+byte mark_writer = 255;  /* whose mark is in the row; 255: none */
+bool not_run = false;
 byte version = 0;
 
 byte runs = 0;
 
-/* writes on their way */
-typedef Write { bool flying; bool end; byte version; };
-Write f[WRITERS];
+/* writes in flight; `is_not_run`: marks the request "not run" */
+typedef Write { bool in_flight; bool is_not_run; byte version; };
+Write writes[WRITERS];
 
-inline land(i) {
+inline apply_write(i) {
   if
-  :: !f[i].end && f[i].version == version && version < MAXVERSION ->
-       mark = i; notrun = false; version++
-#ifdef MUTANT_UNCONDITIONAL_END
-  :: f[i].end && version < MAXVERSION -> mark = i; notrun = true; version++
+  :: !writes[i].is_not_run && writes[i].version == version && version < MAX_VERSION ->
+       mark_writer = i; not_run = false; version++
+  /* Mutant: "not run" is written although another host's mark may be in the row by now, so a
+     request that is running may be run again. */
+#ifdef MUTANT_UNCONDITIONAL_NOT_RUN
+  :: writes[i].is_not_run && version < MAX_VERSION -> mark_writer = i; not_run = true; version++
 #else
-  :: f[i].end && f[i].version == version && version < MAXVERSION -> notrun = true; version++
+  :: writes[i].is_not_run && writes[i].version == version && version < MAX_VERSION ->
+       not_run = true; version++
 #endif
   :: else
   fi;
-  /* it may arrive again */
-  if :: true -> f[i].flying = false :: true fi
+  /* the write may arrive again */
+  if :: true -> writes[i].in_flight = false :: true fi
 }
 
 active proctype system() {
@@ -50,37 +57,44 @@
   :: atomic {
        if :: i = 0 :: i = 1 :: i = 2 :: i = 3 fi;
        if
-       /* reads that it is the first, or that the earlier one did not run, and sends its mark */
-       :: p[i].step == 0 && (mark == 255 || notrun) ->
-            p[i].step = 1; f[i].flying = true; f[i].end = false; f[i].version = version
-       /* hears or reads back that its mark stands */
-       :: p[i].step == 1 && mark == i && !notrun -> p[i].step = 2; p[i].version = version
-#ifdef MUTANT_RUN_ON_UNKNOWN
-       /* takes a write without an answer for done */
-       :: p[i].step == 1 -> p[i].step = 2; p[i].version = version
+       /* reads that there is no mark, or that the earlier attempt did not run, and sends its mark */
+       :: writer[i].step == 0 && (mark_writer == 255 || not_run) ->
+            writer[i].step = 1; writes[i].in_flight = true; writes[i].is_not_run = false;
+            writes[i].version = version
+       /* receives the answer, or reads back, that its mark is in the row */
+       :: writer[i].step == 1 && mark_writer == i && !not_run ->
+            writer[i].step = 2; writer[i].version = version
+       /* Mutant: the host runs the request although the outcome of its own mark's write is
+          unknown. */
+#ifdef MUTANT_RUN_ON_UNKNOWN_OUTCOME
+       /* treats a write without an answer as applied */
+       :: writer[i].step == 1 -> writer[i].step = 2; writer[i].version = version
 #endif
-       /* gives the request to a target */
-       :: p[i].step == 2 -> p[i].step = 3; runs++
-       /* no target took it: not run, and says so */
-       :: p[i].step == 2 ->
-            p[i].step = 4; f[i].flying = true; f[i].end = true; f[i].version = p[i].version
-#ifdef MUTANT_CALLS_SENT_NOT_RUN
-       :: p[i].step == 3 ->
-            p[i].step = 4; f[i].flying = true; f[i].end = true; f[i].version = p[i].version
+       /* sends the request to a target */
+       :: writer[i].step == 2 -> writer[i].step = 3; runs++
+       /* no target accepted the request: marks it "not run" */
+       :: writer[i].step == 2 ->
+            writer[i].step = 4; writes[i].in_flight = true; writes[i].is_not_run = true;
+            writes[i].version = writer[i].version
+       /* Mutant: the host marks a request "not run" that it has already sent to a target. */
+#ifdef MUTANT_SENT_REQUEST_MARKED_NOT_RUN
+       :: writer[i].step == 3 ->
+            writer[i].step = 4; writes[i].in_flight = true; writes[i].is_not_run = true;
+            writes[i].version = writer[i].version
 #endif
        /* crashes */
-       :: p[i].step > 0 -> p[i].step = 4
+       :: writer[i].step > 0 -> writer[i].step = 4
        :: else
        fi
      }
-  :: atomic { f[0].flying -> land(0) }
-  :: atomic { f[1].flying -> land(1) }
-  :: atomic { f[2].flying -> land(2) }
-  :: atomic { f[3].flying -> land(3) }
-  :: atomic { f[0].flying -> f[0].flying = false }
-  :: atomic { f[1].flying -> f[1].flying = false }
-  :: atomic { f[2].flying -> f[2].flying = false }
-  :: atomic { f[3].flying -> f[3].flying = false }
+  :: atomic { writes[0].in_flight -> apply_write(0) }
+  :: atomic { writes[1].in_flight -> apply_write(1) }
+  :: atomic { writes[2].in_flight -> apply_write(2) }
+  :: atomic { writes[3].in_flight -> apply_write(3) }
+  :: atomic { writes[0].in_flight -> writes[0].in_flight = false }
+  :: atomic { writes[1].in_flight -> writes[1].in_flight = false }
+  :: atomic { writes[2].in_flight -> writes[2].in_flight = false }
+  :: atomic { writes[3].in_flight -> writes[3].in_flight = false }
   :: atomic { runs > 1 -> assert(runs <= 1) }
   od
 }
