--- a/models/usage_counts.pml
+++ b/models/usage_counts.pml
@@ -1,105 +1,112 @@
 /*
- * One team's rate over three hosts by counts that they tell each other.
+ * Checks one team's rate over three hosts that report their usage counts to each other.
  *
- * Each host has a bucket of the whole fleet. What it admits, and what others of its part tell, costs
- * as many tokens as there are hosts for each one heard; the surplus is kept for hosts that are not.
- * A beat carries the count since the sender's start; beats may be lost. The fleet falls into two
- * parts and heals, at most twice. The first beat after a silence settles what was kept with what
- * was spent.
+ * Each host keeps a bucket for the whole fleet. A request that it admits itself, or that another alive host
+ * reports, costs HOSTS / alive tokens, where `alive` is the number of hosts from which heartbeats arrive;
+ * the surplus over one token is reserved for the silent hosts. A heartbeat carries the number of requests
+ * admitted since the sender's start. The first heartbeat after a silence settles the reserved tokens
+ * against the requests that the sender admitted meanwhile.
  *
- * What must hold: what all admit together stays within burst and rate, but for what is admitted
- * while a beat is on its way. Levels are counted in sixths of a token.
+ * Assumptions: heartbeats may be lost. The network is partitioned into two parts and heals, at most twice.
+ *
+ * What must hold: all requests admitted together stay within burst and rate, except for those admitted
+ * while a heartbeat is in flight. Levels are counted in sixths of a token.
  */
 #define HOSTS 3
 #define UNIT 6
 #ifndef BURST
-#define BURST 24          /* four tokens */
+#define BURST 24  /* four tokens */
 #endif
 #ifndef TICKS
-#define TICKS 0           /* tokens that come in while it goes on */
+#define TICKS 0  /* tokens that are added during the run */
 #endif
-#define LOST 0            /* beats that may be lost */
-/* each host may have admitted one request that others have not heard of */
+#define MAX_LOST 0  /* heartbeats that may be lost */
+/* requests, one per host, that may be admitted and not yet reported to the others */
 #define SLACK 3
 
 short level[HOSTS] = BURST;
 byte admitted[HOSTS];
-byte heard[9];             /* heard[i * HOSTS + j]: the count of j that i knows */
-short kept[HOSTS];         /* for each host that is not heard, since the start */
-short kept_before[9];      /* kept[i] when j fell silent */
-bool silent[9];            /* i has not heard j since a division */
-bool untold[HOSTS];        /* has admitted since its last beat */
+byte known_count[9];       /* known_count[i * HOSTS + j]: the count of j that i knows */
+short reserved[HOSTS];     /* tokens reserved for each silent host since the start */
+short reserved_before[9];  /* at i * HOSTS + j: reserved[i] when j became silent */
+bool silent[9];            /* at i * HOSTS + j: i received no heartbeat of j since a partition */
+bool unreported[HOSTS];    /* has admitted a request since its last heartbeat */
 byte ticks = 0, lost = 0, changes = 0, total = 0;
-bool apart = false;        /* host 2 is cut off from the others */
+bool partitioned = false;  /* host 2 is cut off from the others */
 
-inline hears(to, from) { near = (to == from || !apart || (to != 2 && from != 2)) }
+inline check_reachable(to, from) { reachable = (to == from || !partitioned || (to != 2 && from != 2)) }
 
-/* how many hosts `at` hears, itself included */
-inline count_heard(at) {
-  n = 1; k = 0;
+/* the number of hosts that are alive for host `at`, itself included */
+inline count_alive(at) {
+  alive = 1; k = 0;
   do
-  :: k < HOSTS -> if :: k != at && !silent[at * HOSTS + k] -> n++ :: else fi; k++
+  :: k < HOSTS -> if :: k != at && !silent[at * HOSTS + k] -> alive++ :: else fi; k++
   :: else -> break
   od
 }
 
 inline charge(here, requests) {
-  count_heard(here);
-#ifdef MUTANT_OTHERS_COST_ONE
+  count_alive(here);
+  /* Mutant: requests that other hosts report cost one token only, so what silent hosts may
+     admit at the same time stays uncharged. */
+#ifdef MUTANT_REMOTE_REQUESTS_UNSCALED
   if
-  :: requests > 0 && !own -> level[here] = level[here] - requests * UNIT
-  :: else -> level[here] = level[here] - requests * UNIT * HOSTS / n
+  :: requests > 0 && !is_own -> level[here] = level[here] - requests * UNIT
+  :: else -> level[here] = level[here] - requests * UNIT * HOSTS / alive
   fi;
 #else
-  level[here] = level[here] - requests * UNIT * HOSTS / n;
+  level[here] = level[here] - requests * UNIT * HOSTS / alive;
 #endif
-  if :: n < HOSTS -> kept[here] = kept[here] + requests * UNIT / n :: else fi
+  if :: alive < HOSTS -> reserved[here] = reserved[here] + requests * UNIT / alive :: else fi
 }
 
-/* host `to` takes a beat of `from` */
-inline take(to, from) {
-  spent = admitted[from] - heard[to * HOSTS + from];
-  heard[to * HOSTS + from] = admitted[from];
+/* host `to` receives a heartbeat of host `from` */
+inline receive_heartbeat(to, from) {
+  newly_admitted = admitted[from] - known_count[to * HOSTS + from];
+  known_count[to * HOSTS + from] = admitted[from];
   if
   :: silent[to * HOSTS + from] ->
        silent[to * HOSTS + from] = false;
-#ifdef MUTANT_SILENCE_FORGIVES
+       /* Mutant: the first heartbeat after a silence settles nothing, so the requests that its
+          sender admitted while it was silent are never charged. */
+#ifdef MUTANT_NO_SETTLEMENT_AFTER_SILENCE
        skip
 #else
-       level[to] = level[to] + kept[to] - kept_before[to * HOSTS + from] - spent * UNIT;
+       level[to] = level[to] + reserved[to] - reserved_before[to * HOSTS + from] -
+         newly_admitted * UNIT;
        if :: level[to] > BURST -> level[to] = BURST :: else fi
 #endif
-  :: else -> own = false; charge(to, spent)
+  :: else -> is_own = false; charge(to, newly_admitted)
   fi
 }
 
 active proctype system() {
-  byte i, j, k, n;
-  byte spent;
-  bool near, own;
+  byte i, j, k, alive;
+  byte newly_admitted;
+  bool reachable, is_own;
   do
   /* a request is admitted */
   :: atomic {
        if :: i = 0 :: i = 1 :: i = 2 fi;
-       count_heard(i);
+       count_alive(i);
        if
-       :: !untold[i] && level[i] * n >= UNIT * HOSTS ->
-            own = true; charge(i, 1); admitted[i]++; total++; untold[i] = true;
+       :: !unreported[i] && level[i] * alive >= UNIT * HOSTS ->
+            is_own = true; charge(i, 1); admitted[i]++; total++; unreported[i] = true;
             assert(total * UNIT <= BURST + ticks * UNIT + SLACK * UNIT)
        :: else
        fi
      }
-  /* a beat to all that are reached; it may get lost on the way to one */
+  /* a heartbeat to all reachable hosts; it may be lost on its way to one of them */
   :: atomic {
        if :: i = 0 :: i = 1 :: i = 2 fi;
-       untold[i] = false;
+       unreported[i] = false;
        j = 0;
        do
        :: j < HOSTS ->
-            hears(j, i);
+            check_reachable(j, i);
             if
-            :: j != i && near -> take(j, i)
-            :: j != i && near && lost < LOST -> lost++
+            :: j != i && reachable -> receive_heartbeat(j, i)
+            :: j != i && reachable && lost < MAX_LOST -> lost++
             :: else
             fi;
             j++
@@ -117,16 +124,18 @@
        od;
        i = 0
      }
-  /* host 2 is cut off, and all notice */
-  :: atomic { !apart && changes < 3 ->
-       apart = true; changes++;
+  /* host 2 is cut off, and all hosts detect it */
+  :: atomic { !partitioned && changes < 3 ->
+       partitioned = true; changes++;
        i = 0;
        do
        :: i < 2 ->
-            if :: !silent[i * HOSTS + 2] -> kept_before[i * HOSTS + 2] = kept[i] :: else fi;
-            if :: !silent[6 + i] -> kept_before[6 + i] = kept[2] :: else fi;
+            if :: !silent[i * HOSTS + 2] -> reserved_before[i * HOSTS + 2] = reserved[i] :: else fi;
+            if :: !silent[6 + i] -> reserved_before[6 + i] = reserved[2] :: else fi;
             silent[i * HOSTS + 2] = true; silent[6 + i] = true;
-#ifdef MUTANT_DIVISION_UNNOTICED
+            /* Mutant: the hosts do not detect the partition, so each part spends the whole
+               bucket. */
+#ifdef MUTANT_PARTITION_UNDETECTED
             silent[i * HOSTS + 2] = false; silent[6 + i] = false;
 #endif
             i++
@@ -134,7 +143,7 @@
        od;
        i = 0
      }
-  /* the cut heals; the next beats tell */
-  :: atomic { apart -> apart = false; changes++ }
+  /* the partition heals; hosts learn of it from the next heartbeats */
+  :: atomic { partitioned -> partitioned = false; changes++ }
   od
 }
