--- a/models/cold.pml
+++ b/models/cold.pml
@@ -1,44 +1,48 @@
 /*
- * The rate of one cold target, handed out by hosts that own its group in turn.
+ * Checks the request rate of one cold target (slow start), granted by the hosts that own its group in turn.
  *
- * Time goes in half seconds. The ownership moves from host to host at any time. The host that lost it is
- * still asked for a second by hosts that have not heard of it. A host that gets it waits two seconds
- * before it hands out its share. Hosts that disagree for long may have two owners at once; and a host
- * that reaches no owner sends alone, if rendezvous drew it.
+ * Time advances in half seconds. A host that becomes the owner waits two seconds before it grants its
+ * share. A host that reaches no owner sends without a grant if rendezvous hashing selects it.
  *
- * What must hold: in any second the target gets no more than it bears.
+ * Assumptions: the ownership moves from host to host at any time. Hosts that do not know of the move yet
+ * send their requests to the former owner for one more second. Hosts that disagree for long may have two
+ * owners at once.
+ *
+ * What must hold: in any second the target receives no more requests than its limit.
  */
 #define HOSTS 4
-#define SHARE 2            /* requests in a second that an owner hands out */
-#define ALONE 1            /* hosts that may send alone, one request in a second each */
-#define BORNE 5            /* two shares and what hosts send alone */
-#define ASKED_FOR 2        /* half seconds for which a former owner is still asked */
-#define WAIT 4             /* half seconds before a new owner hands out */
+#define OWNER_SHARE 2          /* requests per second that an owner grants */
+#define OWNERLESS_SENDERS 1    /* hosts that may send without an owner, one request per second each */
+#define TARGET_LIMIT 5         /* requests per second: two owners' shares and those sent without an owner */
+#define FORMER_OWNER_WINDOW 2  /* half seconds for which a former owner still receives requests */
+#define START_DELAY 4          /* half seconds before a new owner grants */
 
-byte now_sent[HOSTS], last_sent[HOSTS];   /* in this half second, and in the one before */
-byte owned_for[HOSTS] = WAIT;             /* half seconds since the ownership began, up to WAIT */
-byte asked[HOSTS];                        /* half seconds for which it is asked after its loss */
-byte owner = 0, second = HOSTS;           /* the owner; another one, for hosts that disagree */
+byte sent[HOSTS], sent_before[HOSTS];  /* in this half second, and in the one before */
+/* half seconds since the ownership began, up to START_DELAY */
+byte ownership_age[HOSTS] = START_DELAY;
+/* half seconds for which a former owner still receives requests */
+byte former_owner_left[HOSTS];
+byte owner = 0, second_owner = HOSTS;  /* the owner; a second one, for hosts that disagree */
 byte sum, h, moves = 0;
 
 inline check() {
   sum = 0; h = 0;
   do
-  :: h < HOSTS -> sum = sum + now_sent[h] + last_sent[h]; h++
+  :: h < HOSTS -> sum = sum + sent[h] + sent_before[h]; h++
   :: else -> break
   od;
   h = 0;
-  assert(sum <= BORNE)
+  assert(sum <= TARGET_LIMIT)
 }
 
 inline tick() {
   h = 0;
   do
   :: h < HOSTS ->
-       last_sent[h] = now_sent[h]; now_sent[h] = 0;
-       if :: asked[h] > 0 -> asked[h]-- :: else fi;
+       sent_before[h] = sent[h]; sent[h] = 0;
+       if :: former_owner_left[h] > 0 -> former_owner_left[h]-- :: else fi;
        if
-       :: (h == owner || h == second) && owned_for[h] < WAIT -> owned_for[h]++
+       :: (h == owner || h == second_owner) && ownership_age[h] < START_DELAY -> ownership_age[h]++
        :: else
        fi;
        h++
@@ -47,13 +51,14 @@
   h = 0
 }
 
-/* `next` gets what `before` loses */
+/* moves the ownership from `before` to `next` */
 inline move(before, next) {
-  asked[before] = ASKED_FOR;
-  asked[next] = 0;
-  owned_for[next] = 0;
-#ifdef MUTANT_HANDS_OUT_AT_ONCE
-  owned_for[next] = WAIT;
+  former_owner_left[before] = FORMER_OWNER_WINDOW;
+  former_owner_left[next] = 0;
+  ownership_age[next] = 0;
+  /* Mutant: a new owner grants at once, while the former one still does. */
+#ifdef MUTANT_NO_START_DELAY
+  ownership_age[next] = START_DELAY;
 #endif
 }
 
@@ -65,47 +70,51 @@
   :: atomic { moves < 3 ->
        if :: next = 1 :: next = 2 fi;
        if
-       :: next != owner && next != second -> move(owner, next); owner = next; moves++
+       :: next != owner && next != second_owner -> move(owner, next); owner = next; moves++
        :: else
        fi;
        next = 0
      }
-  /* some hosts see another owner than the others, and for how long is not known */
-  :: atomic { second == HOSTS && owner != 3 -> second = 3; owned_for[3] = 0;
-#ifdef MUTANT_HANDS_OUT_AT_ONCE
-       owned_for[3] = WAIT;
+  /* some hosts see another owner than the rest, for an unknown time */
+  :: atomic { second_owner == HOSTS && owner != 3 -> second_owner = 3; ownership_age[3] = 0;
+#ifdef MUTANT_NO_START_DELAY
+       ownership_age[3] = START_DELAY;
 #endif
      }
-  :: atomic { second == 3 -> second = HOSTS; asked[3] = ASKED_FOR }
-  /* an owner, or one that is still asked, hands out a request */
+  :: atomic { second_owner == 3 -> second_owner = HOSTS; former_owner_left[3] = FORMER_OWNER_WINDOW }
+  /* an owner, or a former one that still receives requests, grants a request */
   :: atomic {
        if :: next = 0 :: next = 1 :: next = 2 :: next = 3 fi;
        if
-       :: (next == owner || next == second || asked[next] > 0) &&
-#ifdef MUTANT_WAITS_FOR_ONE_SECOND
-          owned_for[next] >= WAIT / 2 &&
+       :: (next == owner || next == second_owner || former_owner_left[next] > 0) &&
+          /* Mutant: a new owner waits one second only. Requests that the former owner granted
+             until then fall into the same second. */
+#ifdef MUTANT_START_DELAY_OF_ONE_SECOND
+          ownership_age[next] >= START_DELAY / 2 &&
 #else
-          owned_for[next] >= WAIT &&
+          ownership_age[next] >= START_DELAY &&
 #endif
-#ifdef MUTANT_HANDS_OUT_ALL
-          now_sent[next] + last_sent[next] < BORNE ->
+          /* Mutant: each owner grants the target's whole limit, so two owners exceed it. */
+#ifdef MUTANT_OWNER_GRANTS_WHOLE_LIMIT
+          sent[next] + sent_before[next] < TARGET_LIMIT ->
 #else
-          now_sent[next] + last_sent[next] < SHARE ->
+          sent[next] + sent_before[next] < OWNER_SHARE ->
 #endif
-            now_sent[next]++; check()
+            sent[next]++; check()
        :: else
        fi;
        next = 0
      }
-  /* a host that reaches no owner sends alone */
+  /* a host that reaches no owner sends without a grant */
   :: atomic {
        if :: next = 0 :: next = 1 :: next = 2 :: next = 3 fi;
        if
-       :: next != owner && next != second && asked[next] == 0 &&
-#ifndef MUTANT_EVERYBODY_SENDS_ALONE
-          next < ALONE &&
+       :: next != owner && next != second_owner && former_owner_left[next] == 0 &&
+          /* Mutant: every host that reaches no owner sends, not only the selected ones. */
+#ifndef MUTANT_ALL_HOSTS_SEND_WITHOUT_OWNER
+          next < OWNERLESS_SENDERS &&
 #endif
-          now_sent[next] + last_sent[next] < 1 -> now_sent[next]++; check()
+          sent[next] + sent_before[next] < 1 -> sent[next]++; check()
        :: else
        fi;
        next = 0
