--- a/models/check.sh
+++ b/models/check.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# Checks the protocol models exhaustively with Spin. Each model must hold, and each of its mutants
-# must be caught: a check that nothing can break proves nothing.
+# Checks the protocol models exhaustively with Spin. Each model must hold, and each of its mutants must be
+# broken: a mutant that holds shows that the assertions do not detect the failure it stands for.
 set -euo pipefail
 cd "$(dirname "$0")"
 out=$(mktemp -d)
 trap 'rm -rf "$out"' EXIT
 failed=0
 
-# run NAME DEFINES: prints "holds" or "broken".
+# run MODEL DEFINES...: prints "holds" with the number of states, "broken" if Spin finds an error, or
+# "incomplete" if the search ran into a limit of depth or memory.
 run() {
   local model=$1; shift
   local dir="$out/$model-${*// /-}"
@@ -27,6 +28,7 @@
   fi
 }
 
+# expect VERDICT MODEL DEFINES...: runs the model and records a failure unless it has this verdict.
 expect() {
   local wanted=$1 model=$2; shift 2
   local found
@@ -41,6 +43,6 @@
     expect broken "$model" "-D$mutant"
   done
 done
-# The same with tokens that come in, for which there are too many states with a larger burst.
+# With tokens that are added during the run. The burst is smaller, since there are too many states otherwise.
 expect holds usage_counts -DBURST=12 -DTICKS=1
 exit "$failed"
