--- a/examples/fleet.sh
+++ b/examples/fleet.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Starts HOSTS daemons in three availability zones with ENGINES engines and one platform stand-in, as
-# processes on loopback, declares one team and prints what a measurement needs, then runs the command
-# that follows with those variables set, and stops everything.
+# Starts HOSTS daemons in three availability zones, ENGINES engines and one platform stand-in as processes on
+# loopback, and declares TEAMS teams (default: one). Then runs COMMAND with the addresses, process IDs and the API
+# key of the first team in environment variables, and stops everything.
 #   HOSTS=11 ENGINES=20 RATE=100 BURST=100 POLICY=shards examples/fleet.sh COMMAND...
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -52,7 +52,7 @@
   echo '] }'
 } >"$WORK/declarations.jsonc"
 for _ in $(seq 200); do "$bin/cuminramp" -o "$OPERATOR" show >/dev/null 2>&1 && break; sleep 0.1; done
-sleep "${SETTLE:-6}" # the lagging list shows the hosts to each other, and shards find their owners
+sleep "${SETTLE:-6}" # time for the hosts to see each other in the lagging host list, and for shards to get owners
 "$bin/cuminramp" -o "$OPERATOR" apply "$WORK/declarations.jsonc" --wait 20 | tail -1 >&2
 KEY=$("$bin/cuminramp" -o "$OPERATOR" grant team-0)
 sleep 2
