--- a/examples/three-zones.sh
+++ b/examples/three-zones.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Three daemons in three availability zones share one platform stand-in and three engines. A stream
-# is read and a job of 1,000 items runs; in its middle one daemon is killed with kill -9. At the end
-# the results are counted. Everything listens on loopback and stops by itself.
+# Starts three daemons in three availability zones, one platform stand-in and three engines, all on loopback.
+# Measures online requests with streamed answers, then runs a batch job of 1,000 items (ITEMS), during which one
+# daemon is killed with kill -9, and counts the results. All processes are stopped at the end.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cargo build --release --locked --bins
@@ -47,7 +47,7 @@
 done
 "$bin/cuminramp" --operator "$operator" apply "$work/declarations.jsonc"
 key=$("$bin/cuminramp" --operator "$operator" grant parish-desk --label demo)
-for _ in $(seq 200); do # until every part of teams' rates has an owner
+for _ in $(seq 200); do # until every shard of the teams' rates has an owner
   curl -sf "http://$operator/readyz" >/dev/null && break
   sleep 0.1
 done
