--- a/models/check.sh
+++ b/models/check.sh
@@ -33,7 +33,7 @@
   local wanted=$1 model=$2; shift 2
   local found
   found=$(run "$model" "$@")
-  printf '%-12s %-28s %s\n' "$model" "${*:-as it is}" "$found"
+  printf '%-12s %-40s %s\n' "$model" "${*:-as it is}" "$found"
   case "$found" in "$wanted"*) ;; *) failed=1 ;; esac
 }
 
