--- a/models/chunks.pml
+++ b/models/chunks.pml
@@ -71,7 +71,8 @@
   /* the caller creates the job, and may retry */
   :: atomic { submissions < 2 ->
        submissions++;
-       /* Mutant: a retried creation resets the chunk, so it is committed a second time. */
+       /* Mutant: a retried creation resets the job, so a cancelled job is open again and a chunk may be
+          committed twice. */
 #ifdef MUTANT_RETRY_CREATES_NEW_JOB
        if :: true -> created = true; open = true; state = FREE; version++ fi
 #else
--- a/models/job_writer.pml
+++ b/models/job_writer.pml
@@ -161,7 +161,7 @@
        :: host[i].is_loaded ->
             if
             /* Mutant: the host holds the job although the row changed while it loaded the
-               results, so it runs an item that was listed meanwhile. */
+               results, so it lists a result after the caller ended the job. */
 #ifdef MUTANT_LOAD_VERSION_UNCHECKED
             :: !host[i].held ->
 #else
