--- a/crates/cuminramp-fleet/src/slots/tests.rs
+++ b/crates/cuminramp-fleet/src/slots/tests.rs
@@ -121,14 +121,8 @@
     }
 }
 
-fn make_request(request: u64, may_queue: bool) -> SlotRequest {
-    SlotRequest {
-        incarnation: 1,
-        request_id: request,
-        group: group().hash(),
-        avoided: vec![],
-        may_queue,
-    }
+fn make_request(request_id: u64, may_queue: bool) -> SlotRequest {
+    SlotRequest { incarnation: 1, request_id, group: group().hash(), avoided: vec![], may_queue }
 }
 
 /// Waits until a new owner may grant slots to items.
--- a/crates/cuminramp-gateway/src/entry/responses.rs
+++ b/crates/cuminramp-gateway/src/entry/responses.rs
@@ -65,8 +65,8 @@
     response
 }
 
-/// Returns the HTTP status of a refusal. For a request that may have run, each status in [`NOT_RUN_STATUSES`] is
-/// replaced by 502, so that its caller doesn't repeat it.
+/// Returns the HTTP status of a refusal. For a request that may have run, each status in [`NOT_RUN_STATUSES`]
+/// is replaced by 502, so that its caller doesn't repeat it.
 fn refusal_status(refusal: &Refusal) -> StatusCode {
     let status = refusal.code.http_status();
     let means_not_run = NOT_RUN_STATUSES.contains(&status);
--- a/crates/cuminramp-targets/src/packing.rs
+++ b/crates/cuminramp-targets/src/packing.rs
@@ -42,7 +42,7 @@
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
     /// use cuminramp_targets::{OnlinePacking, TargetSpec};
     /// let now = tokio::time::Instant::now();
-    /// let spec = |index| TargetSpec { name: format!("e{index}").into(), slots: 16, leaving: false };
+    /// let spec = |index| TargetSpec { name: format!("e{index}").into(), slots: 16, is_draining: false };
     /// let specs: Vec<TargetSpec> = (0..4).map(spec).collect();
     /// let mut packing = OnlinePacking::new(now);
     /// assert_eq!(packing.choose(&specs, 40.0, now).len(), 4);
