--- a/crates/cuminramp-daemon/src/batch/chunks.rs
+++ b/crates/cuminramp-daemon/src/batch/chunks.rs
@@ -8,7 +8,7 @@
 use cuminramp_wire::rows::{ChunkRow, ChunkState};
 use cuminramp_wire::{decode_row, encode_row};
 
-use crate::batch::held::{HeldChunk, HeldRow};
+use crate::batch::leased::{HeldChunk, HeldRow};
 use crate::batch::results::{segment_name, segment_object};
 use crate::state::{DaemonState, lock};
 
--- a/crates/cuminramp-daemon/src/batch/claims.rs
+++ b/crates/cuminramp-daemon/src/batch/claims.rs
@@ -17,9 +17,9 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::batch::chunks::{drop_chunk, finish_chunk, release_held_chunk};
-use crate::batch::held::{HeldChunk, HeldItem, HeldRow, ItemRef, TrackedJob};
 use crate::batch::jobs::{VersionedChunk, read_chunks};
 use crate::batch::layout_name;
+use crate::batch::leased::{HeldChunk, HeldItem, HeldRow, ItemRef, TrackedJob};
 use crate::batch::results::write_manifest;
 use crate::batch::windows::owns_any_batch;
 use crate::entry::files::{file_object, unix_now};
--- a/crates/cuminramp-daemon/src/batch/mod.rs
+++ b/crates/cuminramp-daemon/src/batch/mod.rs
@@ -1,14 +1,14 @@
 //! Batch jobs on this host.
 //!
 //! - `jobs` creates, lists and cancels jobs for callers and operators;
-//! - `claims` leases chunks of open jobs and closes finished jobs; `held` holds the leased chunks;
+//! - `claims` leases chunks of open jobs and closes finished jobs; `leased` holds the leased chunks;
 //! - `windows` limits the batch items in each engine; `runner` runs items within those limits;
 //! - `chunks` updates the rows of held chunks; `results` writes and reads results.
 
 mod chunks;
 mod claims;
-mod held;
 mod jobs;
+mod leased;
 mod results;
 mod runner;
 mod windows;
--- a/crates/cuminramp-daemon/src/batch/runner.rs
+++ b/crates/cuminramp-daemon/src/batch/runner.rs
@@ -15,7 +15,7 @@
 
 use crate::batch::chunks::{finish_chunk, write_crash_counts};
 use crate::batch::claims::queue_item;
-use crate::batch::held::ItemRef;
+use crate::batch::leased::ItemRef;
 use crate::batch::windows::{RunningItem, batch_owner_of, owns_any_batch};
 use crate::dispatch::{AttemptResult, TargetLease, start_attempt};
 use crate::entry::chat::chat_request;
--- a/crates/cuminramp-daemon/src/batch/windows.rs
+++ b/crates/cuminramp-daemon/src/batch/windows.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::batch::held::{HeldChunk, ItemRef};
+use crate::batch::leased::{HeldChunk, ItemRef};
 use crate::state::{DaemonState, lock};
 
 /// A batch item that runs on an engine.
--- a/crates/cuminramp-daemon/src/dispatch/mod.rs
+++ b/crates/cuminramp-daemon/src/dispatch/mod.rs
@@ -1,14 +1,14 @@
 //! Dispatches admitted requests to targets and relays their answers.
 //!
 //! `queue` makes requests wait while no target has a free slot, `online` chooses targets and retries,
-//! `attempt` runs one attempt, and `relay` forwards the answer, which `events` splits into server-sent
+//! `attempt` runs one attempt, and `forward` forwards the answer, which `events` splits into server-sent
 //! events.
 
 mod attempt;
 mod events;
+mod forward;
 mod online;
 mod queue;
-mod relay;
 mod target_caller;
 
 pub(crate) use attempt::{AttemptResult, SilenceSignals, TargetLease, start_attempt};
--- a/crates/cuminramp-daemon/src/dispatch/online.rs
+++ b/crates/cuminramp-daemon/src/dispatch/online.rs
@@ -19,10 +19,10 @@
 use tokio::time::Instant;
 
 use crate::dispatch::attempt::{AttemptResult, TargetLease, start_attempt};
-use crate::dispatch::queue::wait_for_turn;
-use crate::dispatch::relay::{
+use crate::dispatch::forward::{
     ActiveRequest, BodyError, key_withdrawn_refusal, read_full_body, relay_stream,
 };
+use crate::dispatch::queue::wait_for_turn;
 use crate::dispatch::target_specs;
 use crate::interfaces::{TargetRequest, TargetResponse};
 use crate::state::{DaemonState, lock};
--- a/crates/cuminramp-gateway/src/online/mod.rs
+++ b/crates/cuminramp-gateway/src/online/mod.rs
@@ -1,7 +1,7 @@
 //! Online requests, from admission to the end of the answer.
 
+mod forward;
 mod record;
-mod relay;
 mod serve;
 mod stream;
 
--- a/crates/cuminramp-gateway/src/online/serve.rs
+++ b/crates/cuminramp-gateway/src/online/serve.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use super::RequestRecord;
-use super::relay::{relay_complete, relay_stream};
+use super::forward::{relay_complete, relay_stream};
 use crate::entry::{ResponseBody, is_retry};
 use crate::interfaces::{CallHead, TargetHead};
 use crate::slots::find_slot;
