--- a/crates/cuminramp-cli/src/bench/caller.rs
+++ b/crates/cuminramp-cli/src/bench/caller.rs
@@ -60,7 +60,7 @@
 impl BenchCaller {
     /// Creates a caller of `addresses`, which are separated by commas.
     pub(crate) fn new(addresses: &str, key: &str) -> Self {
-        let timeouts = CallTimeouts { connect: CALL_TIMEOUT, first_byte: CALL_TIMEOUT };
+        let timeouts = CallTimeouts { connect: CALL_TIMEOUT, response_head: CALL_TIMEOUT };
         let hosts = addresses.split(',').map(|address| BenchHost {
             address: address.trim().to_owned(),
             client: HttpClient::new(timeouts),
--- a/crates/cuminramp-cli/src/connection.rs
+++ b/crates/cuminramp-cli/src/connection.rs
@@ -71,7 +71,7 @@
     /// Without an address it calls [`DEFAULT_OPERATOR_ADDRESS`]; without a token it reads
     /// [`TOKEN_ENV_VAR`].
     pub(crate) fn new(address: Option<String>, token: Option<String>) -> Self {
-        let timeouts = CallTimeouts { connect: CALL_TIMEOUT, first_byte: CALL_TIMEOUT };
+        let timeouts = CallTimeouts { connect: CALL_TIMEOUT, response_head: CALL_TIMEOUT };
         OperatorClient {
             client: HttpClient::new(timeouts),
             address: address.unwrap_or_else(|| DEFAULT_OPERATOR_ADDRESS.into()),
--- a/crates/cuminramp-daemon/src/cmd/quickstart.rs
+++ b/crates/cuminramp-daemon/src/cmd/quickstart.rs
@@ -135,7 +135,7 @@
 impl OperatorClient {
     fn new(address: SocketAddr) -> Self {
         let timeout = Duration::from_secs(10);
-        let client = HttpClient::new(CallTimeouts { connect: timeout, first_byte: timeout });
+        let client = HttpClient::new(CallTimeouts { connect: timeout, response_head: timeout });
         OperatorClient { client, base: format!("http://{address}") }
     }
 
--- a/crates/cuminramp-daemon/src/daemon.rs
+++ b/crates/cuminramp-daemon/src/daemon.rs
@@ -231,7 +231,7 @@
     let random: Box<dyn RandomSource> = Box::new(SeededRandom::new(seed));
     let timeouts = CallTimeouts {
         connect: settings.targets.connect_timeout(),
-        first_byte: settings.targets.first_byte_timeout(),
+        response_head: settings.targets.first_byte_timeout(),
     };
     let retries = &settings.retries;
     Ok(DaemonState {
@@ -317,9 +317,9 @@
     drain_callers: &CancellationToken,
 ) -> tokio::task::JoinHandle<()> {
     let limits = &state.settings.limits;
-    let head = limits.head_timeout();
-    let caller_limits = ServeLimits { head, connections: limits.connections };
-    let operator_limits = ServeLimits { head, connections: MAX_OPERATOR_CONNECTIONS };
+    let header_timeout = limits.head_timeout();
+    let caller_limits = ServeLimits { header_timeout, max_connections: limits.connections };
+    let operator_limits = ServeLimits { header_timeout, max_connections: MAX_OPERATOR_CONNECTIONS };
     let operators = operator::build_router(state.clone());
     let stop = state.stop.clone();
     tokio::spawn(serve_router(
--- a/crates/cuminramp-daemon/src/dispatch/attempt.rs
+++ b/crates/cuminramp-daemon/src/dispatch/attempt.rs
@@ -137,7 +137,9 @@
 fn failure_from_error(error: &CallError) -> AttemptFailure {
     match error {
         CallError::NotSent(_) => AttemptFailure { stage: FailureStage::NotSent, is_crash: false },
-        CallError::Broken(_) => AttemptFailure { stage: FailureStage::Sent, is_crash: true },
+        CallError::ConnectionFailed(_) => {
+            AttemptFailure { stage: FailureStage::Sent, is_crash: true }
+        }
         CallError::TimedOut(_) => AttemptFailure { stage: FailureStage::Sent, is_crash: false },
     }
 }
--- a/crates/cuminramp-daemon/src/dispatch/target_caller.rs
+++ b/crates/cuminramp-daemon/src/dispatch/target_caller.rs
@@ -52,12 +52,12 @@
             .body(Full::new(request.body))
             .map_err(|error| CallError::NotSent(error.to_string()))?;
         *outgoing.headers_mut() = request.headers;
-        let response = self.client(address).send_within(outgoing, first_byte_timeout).await?;
+        let response = self.client(address).send_with_timeout(outgoing, first_byte_timeout).await?;
         let (head, body) = response.into_parts();
         let frames = BodyStream::new(body).filter_map(|frame| async move {
             match frame {
                 Ok(frame) => frame.into_data().ok().map(Ok),
-                Err(error) => Some(Err(CallError::Broken(error.to_string()))),
+                Err(error) => Some(Err(CallError::ConnectionFailed(error.to_string()))),
             }
         });
         let body: TargetResponseBody = Box::pin(frames);
@@ -65,6 +65,6 @@
     }
 
     fn drop_connections(&self, address: &str) {
-        self.client(address).drop_pool();
+        self.client(address).discard_pool();
     }
 }
--- a/crates/cuminramp-http/src/client.rs
+++ b/crates/cuminramp-http/src/client.rs
@@ -25,7 +25,7 @@
     /// Timeout for establishing a connection.
     pub connect: Duration,
     /// Timeout for receiving the response head, counted from the start of the call.
-    pub first_byte: Duration,
+    pub response_head: Duration,
 }
 
 /// Reason why a call failed, distinguished by whether the server may have acted on the request.
@@ -34,7 +34,7 @@
     /// No byte of the request was sent, so it had no effect.
     NotSent(String),
     /// The connection failed after the request may have been sent: it may have taken effect.
-    Broken(String),
+    ConnectionFailed(String),
     /// No response arrived within the timeout: the request may have taken effect.
     TimedOut(String),
 }
@@ -45,7 +45,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CallError::NotSent(reason) => write!(formatter, "not sent: {reason}"),
-            CallError::Broken(reason) => write!(formatter, "connection failed: {reason}"),
+            CallError::ConnectionFailed(reason) => write!(formatter, "connection failed: {reason}"),
             CallError::TimedOut(reason) => write!(formatter, "timed out: {reason}"),
         }
     }
@@ -72,44 +72,41 @@
     /// ```
     /// use std::time::Duration;
     /// use cuminramp_http::{CallTimeouts, HttpClient};
-    /// let limits = CallTimeouts { connect: Duration::from_secs(1), first_byte: Duration::from_secs(5) };
+    /// let limits = CallTimeouts { connect: Duration::from_secs(1), response_head: Duration::from_secs(5) };
     /// let client = HttpClient::new(limits);
     /// ```
     pub fn new(limits: CallTimeouts) -> Self {
         HttpClient { limits, pool: ArcSwap::from_pointee(open_pool(&limits)) }
     }
 
-    /// Sends a request and waits for the response head for at most [`CallTimeouts::first_byte`].
+    /// Sends a request and waits for the response head for at most [`CallTimeouts::response_head`].
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, CallError> {
-        self.send_within(request, self.limits.first_byte).await
+        self.send_with_timeout(request, self.limits.response_head).await
     }
 
-    /// Sends a request and waits for the response head for at most `first_byte`.
-    pub async fn send_within(
+    /// Sends a request and waits for the response head for at most `timeout`.
+    pub async fn send_with_timeout(
         &self,
         request: Request<Full<Bytes>>,
-        first_byte: Duration,
+        timeout: Duration,
     ) -> Result<Response<Incoming>, CallError> {
         let pool = self.pool.load_full();
-        match tokio::time::timeout(first_byte, pool.request(request)).await {
+        match tokio::time::timeout(timeout, pool.request(request)).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) if error.is_connect() => Err(CallError::NotSent(error_chain(&error))),
-            Ok(Err(error)) => Err(CallError::Broken(error_chain(&error))),
+            Ok(Err(error)) => Err(CallError::ConnectionFailed(error_chain(&error))),
             Err(_) => {
-                self.drop_pool();
-                Err(CallError::TimedOut(format!(
-                    "no response within {} ms",
-                    first_byte.as_millis()
-                )))
+                self.discard_pool();
+                Err(CallError::TimedOut(format!("no response within {} ms", timeout.as_millis())))
             }
         }
     }
 
     /// Discards all pooled connections. Calls in flight keep their connections.
-    pub fn drop_pool(&self) {
+    pub fn discard_pool(&self) {
         self.pool.store(open_pool(&self.limits).into());
     }
 }
@@ -147,7 +144,7 @@
 
 /// Reads a response body of at most `max_bytes` within the timeout `limit`.
 ///
-/// Returns [`CallError::Broken`] if the body is larger or the connection fails, and
+/// Returns [`CallError::ConnectionFailed`] if the body is larger or the connection fails, and
 /// [`CallError::TimedOut`] if the body is not complete within `limit`.
 pub async fn read_body(
     body: Incoming,
@@ -156,7 +153,7 @@
 ) -> Result<Bytes, CallError> {
     match tokio::time::timeout(limit, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
-        Ok(Err(error)) => Err(CallError::Broken(error.to_string())),
+        Ok(Err(error)) => Err(CallError::ConnectionFailed(error.to_string())),
         Err(_) => {
             Err(CallError::TimedOut(format!("body incomplete after {} ms", limit.as_millis())))
         }
--- a/crates/cuminramp-http/src/server.rs
+++ b/crates/cuminramp-http/src/server.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServeLimits {
     /// Timeout for receiving a complete request head; also bounds the idle time between requests.
-    pub head: Duration,
+    pub header_timeout: Duration,
     /// Maximum number of open connections.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 /// Accepts the next connection; returns `None` once `stop` is cancelled.
@@ -46,7 +46,8 @@
 /// Serves `router` on `listener` until `drain` is cancelled, then completes the requests in flight.
 ///
 /// Returns once every connection is closed. A caller that sends an incomplete request head occupies a
-/// connection for at most `limits.head`. Cancelling `abort` closes all connections immediately.
+/// connection for at most `limits.header_timeout`. Cancelling `abort` closes all connections
+/// immediately.
 pub async fn serve_router(
     listener: TcpListener,
     router: Router,
@@ -55,7 +56,7 @@
     abort: CancellationToken,
 ) {
     let graceful = GracefulShutdown::new();
-    let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(limits.connections));
+    let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(limits.max_connections));
     loop {
         let stream = tokio::select! {
             stream = accept_next(&listener, &drain) => stream,
@@ -94,6 +95,6 @@
     let service = TowerToHyperService::new(router);
     http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.head)
+        .header_read_timeout(limits.header_timeout)
         .serve_connection(TokioIo::new(stream), service)
 }
--- a/crates/cuminramp-platform/src/http_platform.rs
+++ b/crates/cuminramp-platform/src/http_platform.rs
@@ -171,7 +171,7 @@
     /// let platform = cuminramp_platform::HttpPlatform::new("127.0.0.1:7000", Duration::from_secs(2));
     /// ```
     pub fn new(address: &str, timeout: Duration) -> Self {
-        let limits = CallTimeouts { connect: timeout, first_byte: timeout };
+        let limits = CallTimeouts { connect: timeout, response_head: timeout };
         HttpPlatform { client: HttpClient::new(limits), base: format!("http://{address}"), timeout }
     }
 
@@ -225,7 +225,9 @@
 fn to_store_error(error: CallError) -> StoreError {
     match error {
         CallError::NotSent(reason) => StoreError::Unavailable(reason),
-        CallError::Broken(reason) | CallError::TimedOut(reason) => StoreError::Unknown(reason),
+        CallError::ConnectionFailed(reason) | CallError::TimedOut(reason) => {
+            StoreError::Unknown(reason)
+        }
     }
 }
 
--- a/crates/cuminramp-standin/src/engine.rs
+++ b/crates/cuminramp-standin/src/engine.rs
@@ -15,7 +15,7 @@
 use crate::engine_http::build_router;
 
 const SERVE_LIMITS: ServeLimits =
-    ServeLimits { head: Duration::from_secs(60), connections: 10_000 };
+    ServeLimits { header_timeout: Duration::from_secs(60), max_connections: 10_000 };
 
 /// Settings of an engine stand-in.
 #[derive(Clone, Debug, Deserialize, Serialize)]
--- a/crates/cuminramp-standin/src/platform_http.rs
+++ b/crates/cuminramp-standin/src/platform_http.rs
@@ -22,7 +22,7 @@
 use crate::{MemoryPlatform, PlatformFaults};
 
 const SERVE_LIMITS: ServeLimits =
-    ServeLimits { head: Duration::from_secs(30), connections: 10_000 };
+    ServeLimits { header_timeout: Duration::from_secs(30), max_connections: 10_000 };
 
 /// Serves a platform stand-in until `stop` is cancelled.
 pub async fn serve_platform(
--- a/tests/testsuite/tests/testsuite/support.rs
+++ b/tests/testsuite/tests/testsuite/support.rs
@@ -201,7 +201,7 @@
             }
             (platform, engines)
         });
-        let limits = CallTimeouts { connect: CALL_TIMEOUT, first_byte: CALL_TIMEOUT };
+        let limits = CallTimeouts { connect: CALL_TIMEOUT, response_head: CALL_TIMEOUT };
         Fleet {
             runtime,
             platform,
