--- a/crates/cuminramp-daemon/src/batch/chunks.rs
+++ b/crates/cuminramp-daemon/src/batch/chunks.rs
@@ -121,7 +121,7 @@
         return UpdateOutcome::Lost;
     };
     let mut transaction =
-        Transaction::default().put_at(key.clone(), held.version, encode_row(&next));
+        Transaction::default().put_if_version(key.clone(), held.version, encode_row(&next));
     transaction.conditions.push(cuminramp_platform::Condition {
         key: open_job_key(&chunk.job.id),
         version: chunk.job.open_version,
--- a/crates/cuminramp-daemon/src/batch/claims.rs
+++ b/crates/cuminramp-daemon/src/batch/claims.rs
@@ -248,7 +248,7 @@
                 continue;
             };
             let key = chunk_key(&job.id, next.index);
-            transaction = transaction.put_at(key, chunk.version, encode_row(&next));
+            transaction = transaction.put_if_version(key, chunk.version, encode_row(&next));
             leased.push(next);
         }
         match state.platform.table.commit(transaction).await? {
@@ -383,7 +383,7 @@
         ..row
     };
     let mut transaction =
-        Transaction::default().put_at(job_key(&job.id), found.version, encode_row(&next));
+        Transaction::default().put_if_version(job_key(&job.id), found.version, encode_row(&next));
     transaction.deletes.push(open_job_key(&job.id));
     if let CommitOutcome::Committed(_) = state.platform.table.commit(transaction).await? {
         log::info!(
--- a/crates/cuminramp-daemon/src/batch/jobs.rs
+++ b/crates/cuminramp-daemon/src/batch/jobs.rs
@@ -150,8 +150,8 @@
 async fn write_job(state: &DaemonState, row: &JobRow) -> Result<(), Refusal> {
     let value = encode_row(row);
     let transaction = Transaction::default()
-        .put_at(job_key(&row.id), 0, value.clone())
-        .put_at(open_job_key(&row.id), 0, value)
+        .put_if_version(job_key(&row.id), 0, value.clone())
+        .put_if_version(open_job_key(&row.id), 0, value)
         .put(team_job_key(&row.team, &row.id), Vec::new());
     match state.platform.table.commit(transaction).await {
         Ok(CommitOutcome::Committed(_) | CommitOutcome::Conflict(_)) => Ok(()),
@@ -260,7 +260,7 @@
             ..job.row
         };
         let mut transaction =
-            Transaction::default().put_at(job_key(id), job.version, encode_row(&row));
+            Transaction::default().put_if_version(job_key(id), job.version, encode_row(&row));
         transaction.deletes.push(open_job_key(id));
         match state.platform.table.commit(transaction).await {
             Ok(CommitOutcome::Committed(_)) => {
--- a/crates/cuminramp-daemon/src/marks.rs
+++ b/crates/cuminramp-daemon/src/marks.rs
@@ -274,7 +274,7 @@
 async fn write_group(state: &DaemonState, mut group: Vec<PendingMark>) {
     while !group.is_empty() {
         let transaction = group.iter().fold(Transaction::default(), |transaction, mark| {
-            transaction.put_at(mark.key.clone(), mark.version, encode_row(&mark.row))
+            transaction.put_if_version(mark.key.clone(), mark.version, encode_row(&mark.row))
         });
         match state.platform.table.commit(transaction).await {
             Ok(CommitOutcome::Committed(version)) => {
@@ -335,7 +335,7 @@
 async fn write_ends(state: &DaemonState, mut ended: Vec<PendingEnd>) {
     for _ in 0..MAX_END_WRITE_ATTEMPTS {
         let transaction = ended.iter().fold(Transaction::default(), |transaction, end| {
-            transaction.put_at(end.key.clone(), end.version, encode_row(&end.row))
+            transaction.put_if_version(end.key.clone(), end.version, encode_row(&end.row))
         });
         match state.platform.table.commit(transaction).await {
             Ok(CommitOutcome::Committed(_)) => return,
--- a/crates/cuminramp-daemon/src/sync/publisher.rs
+++ b/crates/cuminramp-daemon/src/sync/publisher.rs
@@ -59,11 +59,9 @@
     let set = ChangeSet { generation: expected + 1, writer: state.unique_writer_id(), changes };
     check_changes(state, &set)?;
     let next = HeadRow { generation: set.generation, writer: set.writer.clone(), ..head };
-    let transaction = Transaction::default().put_at(HEAD_KEY, version, encode_row(&next)).put_at(
-        change_key(set.generation),
-        0,
-        encode_row(&set),
-    );
+    let transaction = Transaction::default()
+        .put_if_version(HEAD_KEY, version, encode_row(&next))
+        .put_if_version(change_key(set.generation), 0, encode_row(&set));
     match state.platform.table.commit(transaction).await {
         Ok(CommitOutcome::Committed(_)) => {}
         Ok(CommitOutcome::Conflict(_)) => return Err(latest_conflict(state).await),
@@ -153,7 +151,7 @@
         return Ok(());
     }
     let next = HeadRow { snapshot: generation, ..head };
-    let transaction = Transaction::default().put_at(HEAD_KEY, version, encode_row(&next));
+    let transaction = Transaction::default().put_if_version(HEAD_KEY, version, encode_row(&next));
     state.platform.table.commit(transaction).await.map(drop)
 }
 
--- a/crates/cuminramp-daemon/src/sync/shards.rs
+++ b/crates/cuminramp-daemon/src/sync/shards.rs
@@ -190,7 +190,7 @@
         })
         .collect();
     let put = |transaction: Transaction, (change, version): &(&ShardMove, Version)| {
-        transaction.put_at(shard_key(change.shard), *version, encode_row(&change.to_row()))
+        transaction.put_if_version(shard_key(change.shard), *version, encode_row(&change.to_row()))
     };
     let handovers = collect_handovers(state, moves);
     let all = current_moves.iter().fold(Transaction::default(), put);
--- a/crates/cuminramp-gateway/src/jobs/accept.rs
+++ b/crates/cuminramp-gateway/src/jobs/accept.rs
@@ -315,8 +315,8 @@
 async fn write_row(state: &Arc<GatewayState>, draft: &JobDraft, lock_version: u64) -> WriteOutcome {
     let lock_row = GateRow { accepted: draft.row.accepted_ms };
     let mut transaction = Transaction::default()
-        .put_at(draft.lock_key.clone(), lock_version, encode_row(&lock_row))
-        .put_at(draft.job_key.clone(), 0, encode_row(&draft.row));
+        .put_if_version(draft.lock_key.clone(), lock_version, encode_row(&lock_row))
+        .put_if_version(draft.job_key.clone(), 0, encode_row(&draft.row));
     if draft.row.input_rows > 0 {
         // The input is part of the same write: storing an object first takes five times as long, and while
         // the store is slow callers would receive the acceptance seconds too late.
--- a/crates/cuminramp-gateway/src/jobs/end.rs
+++ b/crates/cuminramp-gateway/src/jobs/end.rs
@@ -76,7 +76,7 @@
     row.phase = JobPhase::Ended as i32;
     row.waiting_tokens = 0;
     let key = job_key(&row.team, &row.id);
-    let transaction = Transaction::default().put_at(key, known.version, encode_row(&row));
+    let transaction = Transaction::default().put_if_version(key, known.version, encode_row(&row));
     match state.store.commit(transaction).await? {
         CommitOutcome::Committed(version) => {
             state.directory.put(row, version);
--- a/crates/cuminramp-gateway/src/jobs/takeover.rs
+++ b/crates/cuminramp-gateway/src/jobs/takeover.rs
@@ -81,7 +81,7 @@
     row.holder_incarnation = state.local_host.incarnation;
     row.fence += 1;
     let key = job_key(&row.team, &row.id);
-    let transaction = Transaction::default().put_at(key, known.version, encode_row(&row));
+    let transaction = Transaction::default().put_if_version(key, known.version, encode_row(&row));
     match state.store.commit(transaction).await? {
         CommitOutcome::Committed(version) => {
             log::info!(
--- a/crates/cuminramp-gateway/src/jobs/writer.rs
+++ b/crates/cuminramp-gateway/src/jobs/writer.rs
@@ -233,8 +233,11 @@
         batch: &[FinishedItem],
     ) -> Result<Transaction, StoreError> {
         let (team, id) = (&self.known.row.team, &self.known.row.id);
-        let mut transaction =
-            Transaction::default().put_at(job_key(team, id), self.known.version, encode_row(next));
+        let mut transaction = Transaction::default().put_if_version(
+            job_key(team, id),
+            self.known.version,
+            encode_row(next),
+        );
         for (offset, finished) in batch.iter().enumerate() {
             let position = self.known.row.listed + offset as u32;
             let mut row = ResultRow {
@@ -304,7 +307,8 @@
         next.holder_incarnation = 0;
         next.commit += 1;
         let key = job_key(&team, &id);
-        let transaction = Transaction::default().put_at(key, self.known.version, encode_row(&next));
+        let transaction =
+            Transaction::default().put_if_version(key, self.known.version, encode_row(&next));
         let progress =
             held.progress().map(|(index, progress)| (index, &self.item_ids[index], progress));
         let (transaction, written) = add_progress_rows(transaction, &team, &id, progress);
--- a/crates/cuminramp-platform/src/table.rs
+++ b/crates/cuminramp-platform/src/table.rs
@@ -44,10 +44,10 @@
     ///
     /// ```
     /// use cuminramp_platform::Transaction;
-    /// let transaction = Transaction::default().put_at("a", 0, "x").put_at("b", 7, "y");
+    /// let transaction = Transaction::default().put_if_version("a", 0, "x").put_if_version("b", 7, "y");
     /// assert_eq!(transaction.conditions.len(), 2);
     /// ```
-    pub fn put_at(
+    pub fn put_if_version(
         mut self,
         key: impl Into<String>,
         version: Version,
