--- a/crates/cuminramp-standin/src/engine.rs
+++ b/crates/cuminramp-standin/src/engine.rs
@@ -67,7 +67,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct EngineControl {
     /// Whether it accepts connections but sends no response.
-    pub(crate) silent: AtomicBool,
+    pub(crate) unresponsive: AtomicBool,
     /// Whether it rejects each chat completion with status 500 before running it.
     pub(crate) failing: AtomicBool,
     /// Highest fencing number of all commands received.
@@ -125,8 +125,8 @@
     }
 
     /// Sets whether it accepts connections but sends no response.
-    pub fn set_silent(&self, silent: bool) {
-        self.shared.control.silent.store(silent, Ordering::Relaxed);
+    pub fn set_unresponsive(&self, unresponsive: bool) {
+        self.shared.control.unresponsive.store(unresponsive, Ordering::Relaxed);
     }
 
     /// Returns how often each prompt or service call ran, sorted by its text.
--- a/crates/cuminramp-standin/src/engine_http.rs
+++ b/crates/cuminramp-standin/src/engine_http.rs
@@ -69,9 +69,9 @@
         .with_state(shared)
 }
 
-/// Never returns if the engine is set to be silent.
-async fn hang_if_silent(shared: &EngineShared) {
-    if shared.control.silent.load(Ordering::Relaxed) {
+/// Never returns if the engine is set to be unresponsive.
+async fn hang_if_unresponsive(shared: &EngineShared) {
+    if shared.control.unresponsive.load(Ordering::Relaxed) {
         std::future::pending::<()>().await;
     }
 }
@@ -81,7 +81,7 @@
     headers: HeaderMap,
     Json(body): Json<ChatBody>,
 ) -> Response {
-    hang_if_silent(&shared).await;
+    hang_if_unresponsive(&shared).await;
     if shared.control.failing.load(Ordering::Relaxed) {
         return (StatusCode::INTERNAL_SERVER_ERROR, "the engine is failing").into_response();
     }
@@ -181,7 +181,7 @@
 }
 
 async fn show_load(State(shared): Shared) -> Response {
-    hang_if_silent(&shared).await;
+    hang_if_unresponsive(&shared).await;
     if !shared.settings.reports_load {
         return StatusCode::NOT_FOUND.into_response();
     }
@@ -201,7 +201,7 @@
 
 async fn set_faults(State(shared): Shared, Json(faults): Json<FaultBody>) -> StatusCode {
     if let Some(silent) = faults.silent {
-        shared.control.silent.store(silent, Ordering::Relaxed);
+        shared.control.unresponsive.store(silent, Ordering::Relaxed);
     }
     if let Some(failing) = faults.failing {
         shared.control.failing.store(failing, Ordering::Relaxed);
@@ -223,7 +223,7 @@
 
 /// Handles calls to the generic service: echoes the call and counts how often the same call arrived.
 async fn echo_call(State(shared): Shared, request: Request) -> Response {
-    hang_if_silent(&shared).await;
+    hang_if_unresponsive(&shared).await;
     let (head, body) = request.into_parts();
     let Ok(body) = axum::body::to_bytes(body, MAX_SERVICE_BYTES).await else {
         return StatusCode::BAD_REQUEST.into_response();
--- a/crates/cuminramp-standin/src/faulty_link.rs
+++ b/crates/cuminramp-standin/src/faulty_link.rs
@@ -21,9 +21,9 @@
     /// Forwards each chunk after a delay.
     Delayed(Duration),
     /// Withholds bytes towards the server and forwards the other direction; connections stay open.
-    SilentForward,
+    BlockToServer,
     /// Withholds bytes in both directions; connections stay open.
-    Silent,
+    BlockBoth,
 }
 
 /// TCP relay in front of one server.
@@ -153,8 +153,8 @@
             match mode {
                 LinkMode::Open => return,
                 LinkMode::Delayed(wait) => return tokio::time::sleep(wait).await,
-                LinkMode::SilentForward if !self.to_server => return,
-                LinkMode::SilentForward | LinkMode::Silent => {
+                LinkMode::BlockToServer if !self.to_server => return,
+                LinkMode::BlockToServer | LinkMode::BlockBoth => {
                     if self.modes.changed().await.is_err() {
                         return;
                     }
--- a/tests/testsuite/tests/testsuite/connections.rs
+++ b/tests/testsuite/tests/testsuite/connections.rs
@@ -59,7 +59,7 @@
     fleet.add_host_behind(&link);
     fleet.wait("all see three alive", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
 
-    link.set_mode(LinkMode::SilentForward);
+    link.set_mode(LinkMode::BlockToServer);
     fleet.wait("the others see two alive", |fleet| (0..2).all(|host| fleet.live_hosts(host) == 2));
     link.set_mode(LinkMode::Open);
 
--- a/tests/testsuite/tests/testsuite/online.rs
+++ b/tests/testsuite/tests/testsuite/online.rs
@@ -54,7 +54,7 @@
 #[test]
 fn a_silent_engine_fails_no_request() {
     let fleet = Fleet::start(1);
-    fleet.engines[1].set_silent(true);
+    fleet.engines[1].set_unresponsive(true);
 
     for number in 0..12 {
         let prompt = format!("hall {number}");
--- a/tests/testsuite/tests/testsuite/services.rs
+++ b/tests/testsuite/tests/testsuite/services.rs
@@ -66,10 +66,10 @@
 #[test]
 fn a_booking_without_an_answer_may_have_run_and_is_not_sent_again() {
     let fleet = Fleet::start(2);
-    fleet.engines[0].set_silent(true);
+    fleet.engines[0].set_unresponsive(true);
 
     let first = book(&fleet, 0, "booking-1");
-    fleet.engines[0].set_silent(false);
+    fleet.engines[0].set_unresponsive(false);
     let retry = book(&fleet, 1, "booking-1");
 
     assert_eq!(first.execution(), "may have run");
