--- a/crates/cuminramp-daemon/src/batch/chunks.rs
+++ b/crates/cuminramp-daemon/src/batch/chunks.rs
@@ -1,4 +1,4 @@
-//! Updates the rows of held chunks: commits, crash counts and releases.
+//! Updates the rows of leased chunks: commits, crash counts and releases.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use cuminramp_wire::rows::{ChunkRow, ChunkState};
 use cuminramp_wire::{decode_row, encode_row};
 
-use crate::batch::leased::{HeldChunk, HeldRow};
+use crate::batch::leased::{LeasedChunk, LeasedRow};
 use crate::batch::results::{segment_name, segment_object};
 use crate::state::{DaemonState, lock};
 
@@ -31,7 +31,7 @@
 /// The names of the result objects contain the lease's fencing number; the commit makes these objects
 /// the chunk's results. While the platform is unavailable, only the writes are retried: the items are
 /// not run again.
-pub(crate) async fn finish_chunk(state: &Arc<DaemonState>, chunk: &Arc<HeldChunk>) {
+pub(crate) async fn finish_chunk(state: &Arc<DaemonState>, chunk: &Arc<LeasedChunk>) {
     let segment = segment_name(&chunk.job.id, chunk.index, chunk.lease.fence);
     let counts = chunk.counts();
     while !chunk.dropped.is_cancelled() {
@@ -58,7 +58,7 @@
 
 async fn write_segment(
     state: &DaemonState,
-    chunk: &HeldChunk,
+    chunk: &LeasedChunk,
     segment: &str,
 ) -> Result<(), StoreError> {
     for success in [true, false] {
@@ -75,7 +75,7 @@
 ///
 /// Without the counts, the chunk's next holder would not run these items alone and would start to count
 /// their crashes anew.
-pub(crate) async fn write_crash_counts(state: &Arc<DaemonState>, chunk: &Arc<HeldChunk>) {
+pub(crate) async fn write_crash_counts(state: &Arc<DaemonState>, chunk: &Arc<LeasedChunk>) {
     while !chunk.dropped.is_cancelled() {
         let crash_counts = chunk.crash_counts();
         let record = |row: &ChunkRow| record_crashes(row, &chunk.lease, &crash_counts).ok();
@@ -88,7 +88,7 @@
 }
 
 /// Stops work on an unfinished chunk and releases its lease, so that another host can lease it at once.
-pub(crate) async fn release_held_chunk(state: &Arc<DaemonState>, chunk: &Arc<HeldChunk>) {
+pub(crate) async fn release_leased_chunk(state: &Arc<DaemonState>, chunk: &Arc<LeasedChunk>) {
     drop_chunk(state, chunk);
     let release = |row: &ChunkRow| release_chunk(row, &chunk.lease).ok();
     let end = update_row(state, chunk, release).await;
@@ -100,9 +100,9 @@
 }
 
 /// Stops work on a chunk. Its row stays as it is.
-pub(crate) fn drop_chunk(state: &DaemonState, chunk: &Arc<HeldChunk>) {
+pub(crate) fn drop_chunk(state: &DaemonState, chunk: &Arc<LeasedChunk>) {
     chunk.dropped.cancel();
-    lock(&state.batch.held).retain(|held| !Arc::ptr_eq(held, chunk));
+    lock(&state.batch.leased).retain(|leased| !Arc::ptr_eq(leased, chunk));
     state.batch.claim_wakeup.notify_one();
 }
 
@@ -112,28 +112,30 @@
 /// After a conflict or an unknown outcome, the row is read back.
 async fn update_row(
     state: &DaemonState,
-    chunk: &HeldChunk,
+    chunk: &LeasedChunk,
     transition: impl Fn(&ChunkRow) -> Option<ChunkRow>,
 ) -> UpdateOutcome {
     let key = chunk_key(&chunk.job.id, chunk.index);
-    let mut held = chunk.row.lock().await;
-    let Some(next) = transition(&held.row) else {
+    let mut leased = chunk.row.lock().await;
+    let Some(next) = transition(&leased.row) else {
         return UpdateOutcome::Lost;
     };
     let mut transaction =
-        Transaction::default().put_if_version(key.clone(), held.version, encode_row(&next));
+        Transaction::default().put_if_version(key.clone(), leased.version, encode_row(&next));
     transaction.conditions.push(cuminramp_platform::Condition {
         key: open_job_key(&chunk.job.id),
         version: chunk.job.open_version,
     });
     match state.platform.table.commit(transaction).await {
         Ok(CommitOutcome::Committed(version)) => {
-            *held = HeldRow { row: next, version };
+            *leased = LeasedRow { row: next, version };
             UpdateOutcome::Written
         }
-        Ok(CommitOutcome::Conflict(_)) => read_back_row(state, &key, &mut held, &next, true).await,
+        Ok(CommitOutcome::Conflict(_)) => {
+            read_back_row(state, &key, &mut leased, &next, true).await
+        }
         Err(StoreError::Unavailable(_)) => UpdateOutcome::Retry,
-        Err(StoreError::Unknown(_)) => read_back_row(state, &key, &mut held, &next, false).await,
+        Err(StoreError::Unknown(_)) => read_back_row(state, &key, &mut leased, &next, false).await,
     }
 }
 
@@ -144,7 +146,7 @@
 async fn read_back_row(
     state: &DaemonState,
     key: &str,
-    held: &mut HeldRow,
+    leased: &mut LeasedRow,
     expected: &ChunkRow,
     conflicted: bool,
 ) -> UpdateOutcome {
@@ -158,7 +160,7 @@
         return UpdateOutcome::Lost;
     };
     if row == *expected {
-        *held = HeldRow { row, version: found.version };
+        *leased = LeasedRow { row, version: found.version };
         return UpdateOutcome::Written;
     }
     if conflicted || row.fence != expected.fence || row.state() == ChunkState::Done {
--- a/crates/cuminramp-daemon/src/batch/claims.rs
+++ b/crates/cuminramp-daemon/src/batch/claims.rs
@@ -16,10 +16,10 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::batch::chunks::{drop_chunk, finish_chunk, release_held_chunk};
+use crate::batch::chunks::{drop_chunk, finish_chunk, release_leased_chunk};
 use crate::batch::jobs::{VersionedChunk, read_chunks};
 use crate::batch::layout_name;
-use crate::batch::leased::{HeldChunk, HeldItem, HeldRow, ItemRef, TrackedJob};
+use crate::batch::leased::{ItemRef, LeasedChunk, LeasedItem, LeasedRow, TrackedJob};
 use crate::batch::results::write_manifest;
 use crate::batch::windows::owns_any_batch;
 use crate::entry::files::{file_object, unix_now};
@@ -88,7 +88,7 @@
         return 0;
     }
     let max_chunks = state.settings.batch.chunks_per_host;
-    max_chunks.saturating_sub(lock(&state.batch.held).len())
+    max_chunks.saturating_sub(lock(&state.batch.leased).len())
 }
 
 /// Updates the tracked jobs from the rows that list jobs as open. A job whose row was deleted or
@@ -138,8 +138,8 @@
 }
 
 fn drop_closed_chunks(state: &Arc<DaemonState>) {
-    let held: Vec<Arc<HeldChunk>> = lock(&state.batch.held).clone();
-    for chunk in held.iter().filter(|chunk| chunk.job.closed.is_cancelled()) {
+    let leased: Vec<Arc<LeasedChunk>> = lock(&state.batch.leased).clone();
+    for chunk in leased.iter().filter(|chunk| chunk.job.closed.is_cancelled()) {
         log::info!(job = &*chunk.job.id, chunk = chunk.index, decision = "stopped"; "chunk");
         drop_chunk(state, chunk);
     }
@@ -167,10 +167,10 @@
     }
     let leased = lease_chunks(state, job, candidates).await?;
     let mut items = 0;
-    for held in leased {
-        let range = job.layout.chunks[held.row.index as usize];
+    for chunk in leased {
+        let range = job.layout.chunks[chunk.row.index as usize];
         items += range.items;
-        load_chunk(state, job, held, range).await?;
+        load_chunk(state, job, chunk, range).await?;
     }
     state.batch.runner_wakeup.notify_one();
     Ok(items)
@@ -203,21 +203,21 @@
     let now = Instant::now();
     let takeover_delay = state.settings.batch.takeover_after();
     let is_dead = |id: &HostId| lock(&state.members).is_dead_for(id, takeover_delay, now);
-    let held: Vec<u32> = lock(&state.batch.held)
+    let leased_here: Vec<u32> = lock(&state.batch.leased)
         .iter()
         .filter(|chunk| chunk.job.id == job.id)
         .map(|chunk| chunk.index)
         .collect();
     let mut free = Vec::new();
     for index in 0..job.layout.chunks.len() as u32 {
-        if held.contains(&index) {
+        if leased_here.contains(&index) {
             continue;
         }
         let existing = rows.iter().find(|chunk| chunk.row.index == index);
         let new_row = || ChunkRow { job: job.id.to_string(), index, ..ChunkRow::default() };
         let row = existing.map_or_else(new_row, |chunk| chunk.row.clone());
-        // The row may name this process as holder although the chunk is not held here: the lease was
-        // written, but the answer to the write was lost.
+        // The row may name this process as holder although `BatchState::leased` lacks the chunk: the lease
+        // was written, but the answer to the write was lost.
         let is_own =
             row.holder == *state.me.id.address && row.holder_incarnation == state.me.id.incarnation;
         let leased = row.state() == ChunkState::Leased;
@@ -239,7 +239,7 @@
     state: &DaemonState,
     job: &TrackedJob,
     mut candidates: Vec<VersionedChunk>,
-) -> Result<Vec<HeldRow>, StoreError> {
+) -> Result<Vec<LeasedRow>, StoreError> {
     while !candidates.is_empty() {
         let mut leased = Vec::new();
         let mut transaction = Transaction::default();
@@ -253,7 +253,7 @@
         }
         match state.platform.table.commit(transaction).await? {
             CommitOutcome::Committed(version) => {
-                return Ok(leased.into_iter().map(|row| HeldRow { row, version }).collect());
+                return Ok(leased.into_iter().map(|row| LeasedRow { row, version }).collect());
             }
             CommitOutcome::Conflict(keys) => {
                 candidates.retain(|chunk| !keys.contains(&chunk_key(&job.id, chunk.row.index)));
@@ -267,7 +267,7 @@
 async fn load_chunk(
     state: &Arc<DaemonState>,
     job: &Arc<TrackedJob>,
-    held: HeldRow,
+    leased: LeasedRow,
     range: ChunkRange,
 ) -> Result<(), StoreError> {
     let object = file_object(&job.team, &job.row.input_file);
@@ -276,19 +276,19 @@
         return Err(StoreError::Unavailable(format!("{object} is missing")));
     };
     let text = String::from_utf8_lossy(&body);
-    let mut items: Vec<HeldItem> =
-        parse_input(&text, range.first_line as usize).into_iter().map(held_item).collect();
-    for counted in &held.row.suspects {
+    let mut items: Vec<LeasedItem> =
+        parse_input(&text, range.first_line as usize).into_iter().map(leased_item).collect();
+    for counted in &leased.row.suspects {
         if let Some(item) = items.get_mut(counted.index as usize) {
             item.crashes = Some(counted.crashes);
         }
     }
-    let chunk = Arc::new(HeldChunk {
+    let chunk = Arc::new(LeasedChunk {
         job: job.clone(),
-        index: held.row.index,
-        lease: LeaseHolder { host: state.me.id.clone(), fence: held.row.fence },
+        index: leased.row.index,
+        lease: LeaseHolder { host: state.me.id.clone(), fence: leased.row.fence },
         items: std::sync::Mutex::new(items),
-        row: tokio::sync::Mutex::new(held),
+        row: tokio::sync::Mutex::new(leased),
         dropped: job.closed.child_token(),
     });
     log::info!(
@@ -296,22 +296,24 @@
         items = range.items, decision = "leased";
         "chunk"
     );
-    lock(&state.batch.held).push(chunk.clone());
+    lock(&state.batch.leased).push(chunk.clone());
     queue_chunk(state, &chunk);
     Ok(())
 }
 
-/// Returns a parsed input line as an item of a held chunk. An invalid line has failed already.
-fn held_item(parsed: Result<cuminramp_batch::BatchItem, cuminramp_batch::ItemError>) -> HeldItem {
+/// Returns a parsed input line as an item of a leased chunk. An invalid line has failed already.
+fn leased_item(
+    parsed: Result<cuminramp_batch::BatchItem, cuminramp_batch::ItemError>,
+) -> LeasedItem {
     match parsed {
-        Ok(item) => HeldItem {
+        Ok(item) => LeasedItem {
             custom_id: item.custom_id.clone(),
             item: Some(item),
             outcome: None,
             failures: 0,
             crashes: None,
         },
-        Err(error) => HeldItem {
+        Err(error) => LeasedItem {
             custom_id: error.custom_id,
             item: None,
             outcome: Some(cuminramp_batch::ItemOutcome::Failed(error.refusal)),
@@ -322,7 +324,7 @@
 }
 
 /// Queues a chunk's unfinished items. A chunk that has none is finished at once.
-fn queue_chunk(state: &Arc<DaemonState>, chunk: &Arc<HeldChunk>) {
+fn queue_chunk(state: &Arc<DaemonState>, chunk: &Arc<LeasedChunk>) {
     let unfinished = chunk.unfinished_items();
     if unfinished.is_empty() {
         let (state, chunk) = (state.clone(), chunk.clone());
@@ -339,9 +341,9 @@
     let in_force = state.configuration.in_force();
     let (model, runs_alone) = {
         let items = lock(&item.chunk.items);
-        let held = &items[item.index];
-        let model = held.item.as_ref().map(|item| item.model.clone()).unwrap_or_default();
-        (model, held.crashes.is_some())
+        let leased = &items[item.index];
+        let model = leased.item.as_ref().map(|item| item.model.clone()).unwrap_or_default();
+        (model, leased.crashes.is_some())
     };
     let route = in_force.index.find(&in_force.configuration, RouteQuery::Model(&model));
     let Some(pool) = route.map(|route| route.pool.clone()) else {
@@ -395,10 +397,10 @@
     Ok(())
 }
 
-/// Releases all held chunks when this host leaves, so that other hosts can lease them at once.
+/// Releases all leased chunks when this host leaves, so that other hosts can lease them at once.
 pub(crate) async fn release_chunks(state: &Arc<DaemonState>) {
-    let held: Vec<Arc<HeldChunk>> = lock(&state.batch.held).clone();
-    for chunk in held {
-        release_held_chunk(state, &chunk).await;
+    let leased: Vec<Arc<LeasedChunk>> = lock(&state.batch.leased).clone();
+    for chunk in leased {
+        release_leased_chunk(state, &chunk).await;
     }
 }
--- a/crates/cuminramp-daemon/src/batch/leased.rs
+++ b/crates/cuminramp-daemon/src/batch/leased.rs
@@ -23,8 +23,8 @@
     pub(crate) closed: CancellationToken,
 }
 
-/// An item of a held chunk and its state.
-pub(crate) struct HeldItem {
+/// An item of a leased chunk and its state.
+pub(crate) struct LeasedItem {
     pub(crate) custom_id: String,
     /// `None` if the input line is invalid.
     pub(crate) item: Option<BatchItem>,
@@ -36,32 +36,32 @@
     pub(crate) crashes: Option<u32>,
 }
 
-/// The row of a held chunk as this host last wrote or read it.
-pub(crate) struct HeldRow {
+/// The row of a leased chunk as this host last wrote or read it.
+pub(crate) struct LeasedRow {
     pub(crate) row: ChunkRow,
     pub(crate) version: Version,
 }
 
 /// A chunk that this host holds the lease of.
-pub(crate) struct HeldChunk {
+pub(crate) struct LeasedChunk {
     pub(crate) job: Arc<TrackedJob>,
     pub(crate) index: u32,
     pub(crate) lease: LeaseHolder,
-    pub(crate) items: Mutex<Vec<HeldItem>>,
+    pub(crate) items: Mutex<Vec<LeasedItem>>,
     /// Locked across writes, so that two updates of the row never run at the same time.
-    pub(crate) row: tokio::sync::Mutex<HeldRow>,
+    pub(crate) row: tokio::sync::Mutex<LeasedRow>,
     /// Cancelled when the lease is lost, the job is closed or the chunk is released.
     pub(crate) dropped: CancellationToken,
 }
 
-/// A reference to an item of a held chunk.
+/// A reference to an item of a leased chunk.
 #[derive(Clone)]
 pub(crate) struct ItemRef {
-    pub(crate) chunk: Arc<HeldChunk>,
+    pub(crate) chunk: Arc<LeasedChunk>,
     pub(crate) index: usize,
 }
 
-impl HeldChunk {
+impl LeasedChunk {
     /// Returns the indexes of the items that have no outcome yet.
     pub(crate) fn unfinished_items(&self) -> Vec<usize> {
         let items = lock(&self.items);
--- a/crates/cuminramp-daemon/src/batch/mod.rs
+++ b/crates/cuminramp-daemon/src/batch/mod.rs
@@ -3,7 +3,7 @@
 //! - `jobs` creates, lists and cancels jobs for callers and operators;
 //! - `claims` leases chunks of open jobs and closes finished jobs; `leased` holds the leased chunks;
 //! - `windows` limits the batch items in each engine; `runner` runs items within those limits;
-//! - `chunks` updates the rows of held chunks; `results` writes and reads results.
+//! - `chunks` updates the rows of leased chunks; `results` writes and reads results.
 
 mod chunks;
 mod claims;
--- a/crates/cuminramp-daemon/src/batch/runner.rs
+++ b/crates/cuminramp-daemon/src/batch/runner.rs
@@ -303,9 +303,9 @@
 async fn handle_crash(state: &Arc<DaemonState>, item: ItemRef, alone: bool) {
     let crashes = {
         let mut items = lock(&item.chunk.items);
-        let held = &mut items[item.index];
-        let crashes = held.crashes.unwrap_or(0) + u32::from(alone);
-        held.crashes = Some(crashes);
+        let leased = &mut items[item.index];
+        let crashes = leased.crashes.unwrap_or(0) + u32::from(alone);
+        leased.crashes = Some(crashes);
         crashes
     };
     log::info!(
--- a/crates/cuminramp-daemon/src/batch/windows.rs
+++ b/crates/cuminramp-daemon/src/batch/windows.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::batch::leased::{HeldChunk, ItemRef};
+use crate::batch::leased::{ItemRef, LeasedChunk};
 use crate::state::{DaemonState, lock};
 
 /// A batch item that runs on an engine.
@@ -59,7 +59,8 @@
     policy: WindowPolicy,
     pub(crate) engines: Mutex<SortedMap<Name, EngineWindow>>,
     pub(crate) waiting: Mutex<WaitingItems>,
-    pub(crate) held: Mutex<Vec<Arc<HeldChunk>>>,
+    /// Chunks that this host holds the lease of.
+    pub(crate) leased: Mutex<Vec<Arc<LeasedChunk>>>,
     /// When this host last reported online work on a target to the target's batch owner.
     reported: Mutex<SortedMap<Name, Instant>>,
     packings: Mutex<SortedMap<Name, OnlinePacking>>,
@@ -77,7 +78,7 @@
             policy,
             engines: Mutex::default(),
             waiting: Mutex::default(),
-            held: Mutex::default(),
+            leased: Mutex::default(),
             reported: Mutex::default(),
             packings: Mutex::default(),
             has_open_jobs: AtomicBool::new(false),
--- a/crates/cuminramp-daemon/src/dispatch/forward.rs
+++ b/crates/cuminramp-daemon/src/dispatch/forward.rs
@@ -1,4 +1,4 @@
-//! Relays the answer of a target to the caller.
+//! Forwards the answer of a target to the caller.
 
 use std::sync::Arc;
 
@@ -135,7 +135,7 @@
 }
 
 /// Responds with a stream that continues when a target fails and another one resumes the answer.
-pub(crate) fn relay_stream(
+pub(crate) fn forward_stream(
     state: Arc<DaemonState>,
     active: ActiveRequest,
     lease: TargetLease,
@@ -144,8 +144,8 @@
     let (sender, receiver) = mpsc::channel(MAX_BUFFERED_EVENTS);
     let tasks = state.tasks.clone();
     tasks.spawn(async move {
-        let mut relay = StreamRelay { state, active, sender };
-        relay.run(lease, target_response).await;
+        let mut forwarder = StreamForwarder { state, active, sender };
+        forwarder.run(lease, target_response).await;
     });
     let events = ReceiverStream::new(receiver).map(Ok::<Bytes, std::convert::Infallible>);
     let mut response = Response::new(Body::from_stream(events));
@@ -155,13 +155,13 @@
     response
 }
 
-/// Returns the error for a caller whose key is withdrawn while its answer is being relayed.
+/// Returns the error for a caller whose key is withdrawn while its answer is being forwarded.
 pub(crate) fn key_withdrawn_refusal() -> Refusal {
     let refusal = Refusal::not_run(ResultCode::KeyUnknown, "the key was withdrawn");
     refusal.with_execution(Execution::Ran)
 }
 
-/// Outcome of relaying the stream of one target.
+/// Outcome of forwarding the stream of one target.
 enum StreamEnd {
     /// The answer is complete.
     Complete,
@@ -173,14 +173,14 @@
     Failed(AttemptFailure),
 }
 
-/// Relays one streamed answer to its caller, over all attempts of the request.
-struct StreamRelay {
+/// Forwards one streamed answer to its caller, over all attempts of the request.
+struct StreamForwarder {
     state: Arc<DaemonState>,
     active: ActiveRequest,
     sender: mpsc::Sender<Bytes>,
 }
 
-impl StreamRelay {
+impl StreamForwarder {
     /// Forwards events until the answer is complete.
     ///
     /// If a target fails, another one resumes the answer at the same token. If none can, the caller
--- a/crates/cuminramp-daemon/src/dispatch/mod.rs
+++ b/crates/cuminramp-daemon/src/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! Dispatches admitted requests to targets and relays their answers.
+//! Dispatches admitted requests to targets and forwards their answers.
 //!
 //! `queue` makes requests wait while no target has a free slot, `online` chooses targets and retries,
 //! `attempt` runs one attempt, and `forward` forwards the answer, which `events` splits into server-sent
--- a/crates/cuminramp-daemon/src/dispatch/online.rs
+++ b/crates/cuminramp-daemon/src/dispatch/online.rs
@@ -20,7 +20,7 @@
 
 use crate::dispatch::attempt::{AttemptResult, TargetLease, start_attempt};
 use crate::dispatch::forward::{
-    ActiveRequest, BodyError, key_withdrawn_refusal, read_full_body, relay_stream,
+    ActiveRequest, BodyError, forward_stream, key_withdrawn_refusal, read_full_body,
 };
 use crate::dispatch::queue::wait_for_turn;
 use crate::dispatch::target_specs;
@@ -166,7 +166,7 @@
         let (lease, target_response) = next_response(state, &mut active).await?;
         state.metrics.record_first_byte(started.elapsed().as_secs_f64());
         if active.online.is_stream && is_event_stream(&target_response.headers) {
-            return Ok(relay_stream(state.clone(), active, lease, target_response));
+            return Ok(forward_stream(state.clone(), active, lease, target_response));
         }
         let (status, headers) =
             (target_response.status, end_to_end_headers(&target_response.headers));
--- a/crates/cuminramp-daemon/src/lib.rs
+++ b/crates/cuminramp-daemon/src/lib.rs
@@ -4,7 +4,7 @@
 //! actions that they return:
 //!
 //! - `entry` serves callers, `operator` serves operators and scrapers, `peer` serves other daemons;
-//! - `dispatch` sends admitted requests to targets and relays their answers;
+//! - `dispatch` sends admitted requests to targets and forwards their answers;
 //! - `sync` keeps declarations, shards and the list of hosts up to date;
 //! - `batch` runs jobs.
 //!
--- a/crates/cuminramp-gateway/src/online/forward.rs
+++ b/crates/cuminramp-gateway/src/online/forward.rs
@@ -23,7 +23,7 @@
 }
 
 /// Passes a stream on to the caller as its events arrive.
-pub(crate) fn relay_stream(
+pub(crate) fn forward_stream(
     dispatch: RequestDispatch,
     response: TargetResponse,
 ) -> Response<ResponseBody> {
@@ -33,7 +33,7 @@
 
 /// Buffers an answer until it is complete, then passes it on. This way an interrupted answer never looks
 /// complete to the caller, and the request can be sent to another target where it may run again.
-pub(crate) async fn relay_complete(
+pub(crate) async fn forward_complete(
     mut dispatch: RequestDispatch,
     mut response: TargetResponse,
 ) -> Result<Response<ResponseBody>, Refusal> {
@@ -69,7 +69,7 @@
         };
         response = match next {
             Ok(response) if dispatch.is_stream() && response.parts.status.is_success() => {
-                return Ok(relay_stream(dispatch, response));
+                return Ok(forward_stream(dispatch, response));
             }
             Ok(response) => response,
             Err(refusal) => {
--- a/crates/cuminramp-gateway/src/online/serve.rs
+++ b/crates/cuminramp-gateway/src/online/serve.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use super::RequestRecord;
-use super::forward::{relay_complete, relay_stream};
+use super::forward::{forward_complete, forward_stream};
 use crate::entry::{ResponseBody, is_retry};
 use crate::interfaces::{CallHead, TargetHead};
 use crate::slots::find_slot;
@@ -318,8 +318,8 @@
         }
     };
     if dispatch.is_stream() && response.parts.status.is_success() {
-        Ok(relay_stream(dispatch, response))
+        Ok(forward_stream(dispatch, response))
     } else {
-        relay_complete(dispatch, response).await
+        forward_complete(dispatch, response).await
     }
 }
--- a/crates/cuminramp-gateway/src/online/stream.rs
+++ b/crates/cuminramp-gateway/src/online/stream.rs
@@ -19,7 +19,7 @@
 pub(crate) type EventFrames = BoxStream<'static, Result<Frame<Bytes>, io::Error>>;
 
 /// State of a stream that is passed on to a caller.
-struct StreamRelay {
+struct StreamForwarder {
     dispatch: RequestDispatch,
     /// Current answer; `None` after the end of the stream.
     response: Option<TargetResponse>,
@@ -43,17 +43,17 @@
 /// Returns the body of a streamed answer. Closing the caller's connection drops it, and with it the
 /// target's answer.
 pub(crate) fn stream_body(dispatch: RequestDispatch, response: TargetResponse) -> EventFrames {
-    let relay = StreamRelay {
+    let forwarder = StreamForwarder {
         resumed_after: dispatch.last_event,
         dispatch,
         response: Some(response),
         splitter: EventSplitter::default(),
         read_error: None,
     };
-    unfold(Some(relay), |relay| async move {
-        let mut relay = relay?;
-        match relay.next_frame().await {
-            Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(relay))),
+    unfold(Some(forwarder), |forwarder| async move {
+        let mut forwarder = forwarder?;
+        match forwarder.next_frame().await {
+            Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(forwarder))),
             Ok(None) => None,
             Err(error) => Some((Err(error), None)),
         }
@@ -61,7 +61,7 @@
     .boxed()
 }
 
-impl StreamRelay {
+impl StreamForwarder {
     /// Returns the next bytes for the caller; `None` after the end.
     async fn next_frame(&mut self) -> Result<Option<Bytes>, io::Error> {
         loop {
