--- a/crates/cuminramp-wire/src/fleet_service.rs
+++ b/crates/cuminramp-wire/src/fleet_service.rs
@@ -3,12 +3,13 @@
 use crate::Encoded;
 use crate::fleet::{NewsReply, NewsRequest, StoreCall, StoreReply};
 
-/// What a host answers to another host. Everything else travels in heartbeats.
+/// Calls that a host answers for other hosts. All other messages between hosts are heartbeats.
 #[tarpc::service]
 pub trait FleetService {
-    /// Which declarations and targets do you know that I lack? It only reads, so it may be repeated.
+    /// Returns the declarations and targets for which the receiver has a newer version than the requester. It
+    /// only reads, so it may be repeated.
     async fn news(request: Encoded<NewsRequest>) -> Encoded<NewsReply>;
-    /// Make this call of the store for me, which I can't reach. A commit names the versions that it
-    /// needs, so one that arrives twice takes effect once.
+    /// Calls the store on behalf of a requester that cannot reach it. A commit is conditional on the versions
+    /// of its rows, so a commit that arrives twice takes effect once.
     async fn call_store(call: Encoded<StoreCall>) -> Encoded<StoreReply>;
 }
--- a/crates/cuminramp-wire/src/service.rs
+++ b/crates/cuminramp-wire/src/service.rs
@@ -6,23 +6,27 @@
     YieldNotice,
 };
 
-/// What a daemon answers to another daemon.
+/// Calls that a daemon answers for other daemons.
 ///
-/// Each call may arrive late, twice or never. A probe and a crash report merge, a pull only reads,
-/// a borrow debits the owner before the requester is credited, and a handover is taken once for each
-/// epoch, so none does harm when repeated.
+/// A call may arrive late, more than once or never, so each is safe to repeat: probes and crash reports
+/// are merged into the receiver's state, a pull only reads, a borrow debits the shard's owner before the
+/// requester is credited, and a handover is applied once per epoch.
 #[tarpc::service]
 pub trait PeerService {
-    /// Are you there, and what have you in force?
+    /// Checks whether the receiver is alive or, if the probe names a target host, whether that host is.
+    /// The reply states what the receiver has in force.
     async fn probe(request: Encoded<Probe>) -> Encoded<ProbeReply>;
-    /// Give me what I lack.
+    /// Returns the changes of the configuration (or a snapshot, if the log of changes does not reach back far
+    /// enough), the withdrawals and the shards that the requester lacks.
     async fn pull(request: Encoded<PullRequest>) -> Encoded<PullReply>;
-    /// Debit tokens of a team for me.
+    /// Debits tokens of a team from the receiver, which owns the shard, and lends them to the requester for
+    /// a short time.
     async fn borrow(request: Encoded<BorrowRequest>) -> Encoded<BorrowReply>;
-    /// You own this shard now; these are its tokens.
+    /// Hands the tokens of a shard over to the receiver, the shard's new owner.
     async fn hand_over(request: Encoded<Handover>) -> ();
-    /// These requests crashed a target.
+    /// Reports crash counts of requests that crashed a target.
     async fn report_crash(request: Encoded<CrashReport>) -> ();
-    /// Online work is on its way to these engines.
+    /// Notifies the batch owner of engines that online work is on its way to them, so that it preempts the
+    /// batch items there.
     async fn yield_targets(request: Encoded<YieldNotice>) -> ();
 }
