--- a/crates/cuminramp-fleet/src/quota/tests.rs
+++ b/crates/cuminramp-fleet/src/quota/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of quota tables whose hosts are all alive or set apart by hand; `partition` simulates fleets with
-//! failing links.
+//! Tests of quota tables without simulated links: all hosts are alive, or the test sets the share of alive
+//! hosts. `partition` simulates fleets with failing links.
 
 mod partition;
 
@@ -178,7 +178,7 @@
 /// arrives late. If admissions in partial heartbeats weren't counted in the meantime, each host would
 /// spend the full rate until the full heartbeat arrives.
 #[tokio::test(start_paused = true)]
-async fn admissions_told_after_a_silence_count_before_a_whole_heartbeat_comes() {
+async fn partial_heartbeats_after_a_silence_count_before_a_full_one() {
     let (mut here, mut there) = (table(), table());
     here.receive_heartbeat(&heartbeat_of("there", &there, true), false, Instant::now());
     advance(Duration::from_secs(10)).await;
