--- a/crates/cuminramp-fleet/src/acceptance.rs
+++ b/crates/cuminramp-fleet/src/acceptance.rs
@@ -3,10 +3,10 @@
 //! A write whose response is lost may still be applied seconds later if its condition holds then. Until
 //! the job's row is read, the outcome is unknown: the job may have been accepted.
 
-/// The row of a submitted job, as last read from the table.
+/// Submission call that wrote the row of a job, as last read from the table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum JobRowOwner {
-    /// No row of the job was read.
+    /// None: no row of the job was read.
     Missing,
     /// This call wrote the row.
     Own,
@@ -17,7 +17,7 @@
 /// State of a submission from which the next step is decided.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptanceView {
-    /// The job's row in the table.
+    /// Writer of the job's row in the table.
     pub found: JobRowOwner,
     /// Tokens of the team's unfinished items on the route. Includes this job's once its row was read.
     pub waiting_tokens: u64,
--- a/crates/cuminramp-fleet/src/declarations.rs
+++ b/crates/cuminramp-fleet/src/declarations.rs
@@ -38,7 +38,7 @@
     pub host: Name,
     /// Prefix that paths must have; begins and ends with a slash.
     pub prefix: Name,
-    /// Whether requests may run more than once.
+    /// Kind of the route's requests.
     pub kind: RouteKind,
     /// Pools whose targets serve the route.
     pub pools: Vec<PoolShare>,
--- a/crates/cuminramp-fleet/src/drains.rs
+++ b/crates/cuminramp-fleet/src/drains.rs
@@ -10,7 +10,8 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// Time for which every heartbeat carries the end of a drain; full heartbeats always do.
+/// Time after the end of a drain was recorded during which every heartbeat advertises it; full heartbeats
+/// always do.
 const ENDED_DRAIN_WINDOW: Duration = Duration::from_secs(10);
 
 /// State of the drain of one zone, as ordered by an operator.
--- a/crates/cuminramp-fleet/src/heartbeat.rs
+++ b/crates/cuminramp-fleet/src/heartbeat.rs
@@ -113,7 +113,7 @@
     pub is_settled: bool,
     /// Some of the hosts that the sender knows.
     pub known_hosts: Vec<KnownHost>,
-    /// Requests that recently crashed targets while the sender ran them.
+    /// Requests that recently crashed targets to which the sender had sent them.
     pub crash_counts: Vec<CrashCount>,
     /// Jobs that callers recently ended through the sender.
     pub ended: Vec<EndedJob>,
--- a/crates/cuminramp-fleet/src/peers.rs
+++ b/crates/cuminramp-fleet/src/peers.rs
@@ -67,8 +67,8 @@
         &self.local
     }
 
-    /// Records a host that a row or another host lists. Returns whether this incarnation is new,
-    /// that is, higher than the recorded one.
+    /// Records a host that the store's table of hosts or another host lists. Returns whether this
+    /// incarnation is new, that is, higher than the recorded one.
     pub fn discover(&mut self, host: &KnownHost, now: Instant) -> bool {
         if host.address == self.local.address {
             return false;
@@ -150,8 +150,8 @@
         self.schedule.timeout(record.host.zone == self.local.zone)
     }
 
-    /// Returns whether a heartbeat of the host arrived within the timeout. While it is alive, callers are
-    /// steered to it, and no share of the rates is reserved for it.
+    /// Returns whether a heartbeat of the host arrived within the timeout. While the host is alive, callers
+    /// may be steered to it, and no share of the rates is reserved for it.
     pub fn is_alive(&self, record: &PeerRecord, now: Instant) -> bool {
         record.last_heartbeat_at.is_some_and(|at| now.duration_since(at) < self.timeout(record))
     }
--- a/crates/cuminramp-fleet/src/schedule.rs
+++ b/crates/cuminramp-fleet/src/schedule.rs
@@ -13,18 +13,20 @@
 /// heartbeats. Further changes in the meantime go out with the same heartbeat.
 const MIN_DELAY: Duration = Duration::from_millis(3);
 /// Minimum interval between two heartbeats to near hosts, per host of the zone. With 29 hosts in a zone,
-/// a host sends some 250 near heartbeats a second under full load.
+/// a host sends a heartbeat to each of the 28 others every 29 ms under full load.
 const NEAR_DELAY_PER_HOST: Duration = Duration::from_micros(1_000);
-/// Minimum interval between two heartbeats when nothing changes.
+/// Minimum interval between two heartbeats when nothing changes, and maximum interval between two near
+/// heartbeats while something changes.
 const MIN_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval between two near heartbeats when nothing changes, per host of the zone. It limits a host to
-/// sending and receiving 200 of these heartbeats a second.
+/// sending and receiving 200 of these heartbeats a second in zones of up to 70 hosts, beyond which
+/// [`MAX_NEAR_INTERVAL`] applies.
 const NEAR_INTERVAL_PER_HOST: Duration = Duration::from_millis(5);
 /// Minimum interval between two far heartbeats, in microseconds, to be multiplied by the square of the
 /// number of hosts. This gives 5 ms for 11 hosts, and 290 ms for 85, of which each sends some 200 far
 /// heartbeats a second.
 const FAR_DELAY_MICROS: u64 = 40;
-/// Maximum of the minimum interval between two far heartbeats. It ensures that a team's usage in other
+/// Upper bound of the minimum interval between two far heartbeats. It ensures that a team's usage in other
 /// zones arrives within the window of its rate limit.
 const MAX_FAR_DELAY: Duration = Duration::from_millis(1_500);
 /// Maximum interval between two near heartbeats. It ensures that a failed host is detected within about a
@@ -40,8 +42,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeartbeatSchedule {
     hosts: u32,
+    /// Minimum interval between two near heartbeats while something changes.
     near_delay: Duration,
+    /// Interval between two near heartbeats when nothing changes.
     near_interval: Duration,
+    /// Minimum interval between two far heartbeats while something changes.
     far_delay: Duration,
 }
 
--- a/crates/cuminramp-fleet/src/steering.rs
+++ b/crates/cuminramp-fleet/src/steering.rs
@@ -11,7 +11,7 @@
 /// Bounds on the number of hosts that a caller receives.
 #[derive(Clone, Copy, Debug)]
 pub struct SteeringBounds {
-    /// Minimum number of live hosts in the caller's zone. With fewer, the caller receives the hosts of a
+    /// Minimum number of alive hosts in the caller's zone. With fewer, the caller receives the hosts of a
     /// wider area instead; if it received a single host and that host failed, it couldn't send requests
     /// until it refreshes its list.
     pub min_near_hosts: usize,
@@ -31,7 +31,7 @@
 }
 
 impl SteeringArea {
-    /// Returns the caller addresses of the nearest live hosts. If the caller's zone has enough of them,
+    /// Returns the caller addresses of the nearest alive hosts. If the caller's zone has enough of them,
     /// these are its hosts and as many random hosts of the region's other zones. Otherwise they are the
     /// hosts of the region, else those of the home regions, else all.
     ///
