--- a/crates/cuminramp-fleet/src/slots.rs
+++ b/crates/cuminramp-fleet/src/slots.rs
@@ -3,7 +3,7 @@
 //! Targets admit work in order of arrival, so a request is in time only if a slot is free when it arrives.
 //! If every host chose targets by itself, it would need the current load of all other hosts, and the
 //! updates between hosts would grow with the square of the fleet. Therefore the targets of a pool in one
-//! availability zone form a group, which one live host owns. The owner grants the group's slots, collects
+//! availability zone form a group, which one alive host owns. The owner grants the group's slots, collects
 //! the outcomes of the sends, and decides which batch items are preempted. It keeps soft state only: hosts
 //! report to it what they have in flight, and report to the next owner as soon as they find this one silent.
 //!
--- a/crates/cuminramp-fleet/src/slots/ledger.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger.rs
@@ -78,7 +78,9 @@
 #[derive(Debug)]
 pub struct SlotLedger {
     me: HostId,
+    /// What each host has in flight, by host and hash of the group.
     accounts: SortedMap<(HostId, u32), GroupAccount>,
+    /// Groups that this host owns, by hash.
     owned: SortedMap<u32, OwnedGroup>,
     responses: Vec<CachedResponse>,
     /// Item limits sent recently, with the time of sending, by host and target.
@@ -110,19 +112,20 @@
         self.responses.clear();
     }
 
-    /// Records that this host owns a group or responds to requests for it, and renews the ownership.
+    /// Records that this host owns the group with this hash or responds to requests for it, and renews the
+    /// ownership.
     pub fn record_ownership(&mut self, group: u32, now: Instant) {
         let new = || OwnedGroup { since: now, renewed_at: now, caller_grants: VecDeque::new() };
         self.owned.get_or_insert_with(group, new).renewed_at = now;
     }
 
-    /// Returns the groups that this host owns or responds for.
+    /// Returns the hashes of the groups that this host owns or responds for.
     pub fn owned(&self) -> Vec<u32> {
         self.owned.keys().copied().collect()
     }
 
-    /// Returns whether this host has owned a group for long enough to hand out the rate of its cold
-    /// targets. By then, the grants of the previous owner no longer count against the rate.
+    /// Returns whether this host has owned the group with this hash for long enough to hand out the rate of
+    /// its cold targets. By then, the grants of the previous owner no longer count against the rate.
     pub fn may_use_cold_targets(&self, group: u32, now: Instant) -> bool {
         self.owned
             .get(&group)
--- a/crates/cuminramp-fleet/src/slots/ledger/items.rs
+++ b/crates/cuminramp-fleet/src/slots/ledger/items.rs
@@ -14,8 +14,8 @@
 /// Interval after which an unchanged item limit is sent again, in case the message was lost. Preempting an
 /// item and reporting it takes its host a few milliseconds.
 const RESEND_INTERVAL: Duration = Duration::from_millis(15);
-/// Maximum number of item grants in one round, each for one host at one target, so that a burst of jobs does
-/// not block the owner.
+/// Maximum number of item grants in one call of [`SlotLedger::grant_items`], each for one host at one target,
+/// so that a burst of jobs does not block the owner.
 const MAX_ITEM_GRANTS: usize = 64;
 
 /// A grant of slots at a target to batch items of a host.
@@ -75,13 +75,13 @@
         for (host, share) in &mut shares {
             while *share > 0 && grants.len() < MAX_ITEM_GRANTS {
                 let account = self.accounts.get(&(host.clone(), hash));
-                let round = self.last_grant as u32 ^ grants.len() as u32;
+                let seed = self.last_grant as u32 ^ grants.len() as u32;
                 let best = free
                     .iter_mut()
                     .filter(|(target, slots)| {
                         *slots > 0 && !account.is_some_and(|account| account.avoids(*target))
                     })
-                    .max_by_key(|(target, slots)| (*slots, tie_break(*target, round)));
+                    .max_by_key(|(target, slots)| (*slots, tie_break(*target, seed)));
                 let Some((target, slots)) = best else { break };
                 *slots -= 1;
                 *share -= 1;
@@ -98,7 +98,7 @@
 
     /// Returns limits that preempt batch items at targets of a group with more work than slots.
     ///
-    /// Items of this host are preempted first, since that takes no message. An unchanged limit of another
+    /// Items of this host are preempted first, since that requires no message. An unchanged limit of another
     /// host is returned again only after a short interval, in case the message was lost.
     pub fn item_limits(
         &mut self,
@@ -142,12 +142,14 @@
     }
 }
 
-/// Returns the rank of a target among targets with equally many free slots. The order differs from round to
-/// round; with a fixed one, the same target would always come first and get most items.
-fn tie_break(target: u32, round: u32) -> u32 {
-    /// Odd, with its bits spread, so that each round gives another order.
+/// Returns the rank of a target among targets with equally many free slots. The order of targets depends on
+/// `seed`; with a fixed order, the same target would always come first and get most items.
+fn tie_break(target: u32, seed: u32) -> u32 {
+    /// Multiplier of a multiplicative hash: a prime close to 2^32 divided by the golden ratio. It is odd, so
+    /// two targets never get the same rank, and multiplying by it spreads a change of `seed` over many
+    /// bits, so each seed gives another order.
     const MULTIPLIER: u32 = 0x9E37_79B1;
-    (target ^ round.wrapping_mul(MULTIPLIER)).wrapping_mul(MULTIPLIER)
+    (target ^ seed.wrapping_mul(MULTIPLIER)).wrapping_mul(MULTIPLIER)
 }
 
 /// Adds one item to the host's grant at a target, or adds a new grant.
--- a/crates/cuminramp-fleet/src/slots/message.rs
+++ b/crates/cuminramp-fleet/src/slots/message.rs
@@ -127,8 +127,8 @@
     },
 }
 
-/// Owner failure report: an owner was found silent. Hosts that exclude it then report to the next owner at
-/// once.
+/// Owner failure report: an owner was found silent. Hosts that exclude it because of such reports send their
+/// slot reports to the next owner at once.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OwnerFailure {
     /// The group, as returned by [`SlotGroup::hash`].
--- a/crates/cuminramp-fleet/src/slots/owners.rs
+++ b/crates/cuminramp-fleet/src/slots/owners.rs
@@ -73,11 +73,11 @@
         self.exclusions.get(host).is_some_and(|exclusion| exclusion.until > now)
     }
 
-    /// Returns the owner of a group, selected by rendezvous hashing among the live hosts of the group's
-    /// zone, or among all live hosts if the zone has none. Returns `None` if no host may own the group, not
-    /// even this one.
+    /// Returns the owner of a group, selected by rendezvous hashing among the alive hosts of the group's zone
+    /// that accept requests and are not excluded, or among the hosts of all zones that meet these conditions
+    /// if the group's zone has none. Returns `None` if no host may own the group, not even this one.
     ///
-    /// `is_local_ready` is whether this host takes requests, so that it may own groups itself.
+    /// `is_local_ready` is set if this host accepts requests, so that it may own groups itself.
     pub fn owner(
         &mut self,
         group: &SlotGroup,
--- a/crates/cuminramp-fleet/src/slots/search.rs
+++ b/crates/cuminramp-fleet/src/slots/search.rs
@@ -35,7 +35,8 @@
 pub struct SearchLimits {
     /// Maximum wait at a target with which the request still meets its objective.
     pub max_wait: Duration,
-    /// Whether the request was refused before. A retry queues for any wait instead of being refused again.
+    /// Whether the request was refused before or has already run at a target. It then queues for any wait
+    /// instead of being refused.
     pub is_retry: bool,
 }
 
@@ -67,8 +68,8 @@
     /// Moves zones in which several sends of the request failed behind the others. `failed` lists the zone
     /// of each failed send.
     ///
-    /// When a zone loses all its targets at once, the group's owner learns it only from the next reports. A
-    /// request that tried target after target there would have no attempts left for other zones.
+    /// When a zone loses all its targets at once, the group's owner detects this only from the next reports.
+    /// A request that tried target after target there would have no attempts left for other zones.
     pub fn after_failures(mut self, failed: &[AvailabilityZone]) -> Self {
         let failures_in =
             |group: &SlotGroup| failed.iter().filter(|zone| **zone == group.zone).count();
--- a/crates/cuminramp-fleet/src/slots/tests/cold.rs
+++ b/crates/cuminramp-fleet/src/slots/tests/cold.rs
@@ -63,7 +63,7 @@
 /// Guards against a target that crashes under a burst as soon as it starts. Two hosts may count as owner at
 /// once, and hosts that reach no owner send on their own; all together stay below the limit.
 #[tokio::test(start_paused = true)]
-async fn two_owners_and_lone_hosts_stay_below_the_limit_of_a_cold_target() {
+async fn two_owners_and_hosts_without_owner_stay_below_the_limit_of_a_cold_target() {
     let mut owners = [owner(&[cold_target("t1")]), owner(&[cold_target("t1")])];
     let cold_targets = owners[0].placement.cold_targets("p", None, Instant::now());
     let without_owner = ColdShare::WithoutOwner(vec![name_hash("t1")]);
@@ -73,10 +73,10 @@
     for _ in 0..12 {
         let by_owners: usize =
             owners.iter_mut().map(|owner| request_slots(owner, &ColdShare::Owner, 100)).sum();
-        let lone_hosts = cold_targets[0].1;
+        let hosts_without_owner = cold_targets[0].1;
         let by_hosts: usize = hosts
             .iter_mut()
-            .take(lone_hosts)
+            .take(hosts_without_owner)
             .map(|host| request_slots(host, &without_owner, 100))
             .sum();
         by_quarter.push(by_owners + by_hosts);
@@ -90,7 +90,7 @@
 
 /// Guards against hosts that all send to a cold target because none of them reaches its owner.
 #[tokio::test(start_paused = true)]
-async fn a_lone_host_sends_nothing_to_a_cold_target_that_it_was_not_drawn_for() {
+async fn a_host_without_owner_sends_nothing_to_a_cold_target_that_it_was_not_drawn_for() {
     let mut host = owner(&[cold_target("t1")]);
 
     let granted = request_slots(&mut host, &ColdShare::WithoutOwner(vec![]), 10);
--- a/crates/cuminramp-fleet/src/slots/tests/orphans.rs
+++ b/crates/cuminramp-fleet/src/slots/tests/orphans.rs
@@ -7,7 +7,7 @@
 use crate::heartbeat::{ReportedLoad, name_hash};
 use crate::slots::{SlotOutcome, SlotReport};
 
-fn target_load(id: &str, busy: u16) -> Vec<ReportedLoad> {
+fn reported_loads(id: &str, busy: u16) -> Vec<ReportedLoad> {
     vec![ReportedLoad { target: name_hash(id), busy }]
 }
 
@@ -16,7 +16,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_target_full_of_orphaned_work_gets_no_callers() {
     let mut owner = Owner::new(&["e1", "e2"]);
-    owner.receive("a", SlotReport { reported_loads: target_load("e1", 8), ..report(1, vec![]) });
+    owner.receive("a", SlotReport { reported_loads: reported_loads("e1", 8), ..report(1, vec![]) });
 
     let chosen: Vec<u32> = (0..8).map(|_| owner.grant("b").0).collect();
     let beyond = owner.request_slot("b", false);
@@ -31,7 +31,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_estimated_wait_includes_orphaned_work() {
     let mut owner = Owner::new(&["e1"]);
-    owner.receive("a", SlotReport { reported_loads: target_load("e1", 8), ..report(1, vec![]) });
+    owner.receive("a", SlotReport { reported_loads: reported_loads("e1", 8), ..report(1, vec![]) });
 
     let SlotOutcome::Busy { wait_ms } = owner.request_slot("b", false) else {
         panic!("a slot was granted")
@@ -50,7 +50,10 @@
     owner.receive("a", report(1, vec![load("e1", 8, 0)]));
     advance(Duration::from_millis(100)).await;
 
-    owner.receive("a", SlotReport { reported_loads: target_load("e1", busy), ..report(2, vec![]) });
+    owner.receive(
+        "a",
+        SlotReport { reported_loads: reported_loads("e1", busy), ..report(2, vec![]) },
+    );
 
     assert_eq!(owner.placement.occupancy("p"), (occupied, 8));
 }
@@ -60,7 +63,7 @@
 #[tokio::test(start_paused = true)]
 async fn orphaned_work_decays_slot_by_slot() {
     let mut owner = Owner::new(&["e1"]);
-    owner.receive("a", SlotReport { reported_loads: target_load("e1", 8), ..report(1, vec![]) });
+    owner.receive("a", SlotReport { reported_loads: reported_loads("e1", 8), ..report(1, vec![]) });
 
     advance(Duration::from_millis(1_010)).await;
     owner.ledger.expire(&mut owner.placement, Instant::now());
