--- a/crates/cuminramp-fleet/src/outliers.rs
+++ b/crates/cuminramp-fleet/src/outliers.rs
@@ -4,8 +4,8 @@
 //! A target may break every connection, or fail a part of its requests, while its registration and its
 //! health check are good. If each host had to find that out by itself, a fleet of seventy hosts would
 //! lose seventy requests to every such target, and as many after each backoff, and callers whose requests
-//! must not run twice would get no answer. Hosts therefore report to each other the outcomes of their
-//! sends to targets with failures.
+//! must not run twice would get no answer. Hosts therefore report the outcomes of their sends to targets
+//! with failures, in their slot reports to the owner of the targets' group.
 //!
 //! Counts decay with a half-life. The failures of one host alone never eject a target on other hosts: the
 //! cause may be the network between that host and the target.
@@ -35,10 +35,10 @@
 const PRIOR_SUCCESSES: f64 = 4.0;
 /// Scale of counts in messages: they are sent in sixteenths.
 const COUNT_SCALE: f64 = 16.0;
-/// Maximum number of targets in one heartbeat, about 400 bytes.
+/// Maximum number of targets whose outcomes a host advertises, about 400 bytes.
 const MAX_ADVERTISED_TARGETS: usize = 64;
-/// Minimum interval between two evaluations of the outliers: hosts receive hundreds of heartbeats a
-/// second.
+/// Minimum interval between two evaluations of the outliers: owners receive hundreds of slot reports a
+/// second, and each replaces a host's outcomes.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Recent outcomes of one host's sends to a target.
--- a/crates/cuminramp-fleet/src/placement.rs
+++ b/crates/cuminramp-fleet/src/placement.rs
@@ -3,7 +3,7 @@
 //! Targets admit work in order of arrival and have no priorities, so an online request is served in time
 //! only if batch items don't occupy the slots when it arrives. The owner of a group of targets records
 //! what all hosts have in flight there. It places a request on the target with the most free slots or, if
-//! no slot is free, on a target with batch items, and commands the host that holds them to cancel one.
+//! no slot is free, on a target with batch items, and commands a host that sent items there to preempt one.
 //! Batch items may occupy every free slot: an item is preempted within milliseconds, whereas slots
 //! reserved for callers stood empty for seconds.
 //!
@@ -134,8 +134,8 @@
     pub pool: &'a str,
     /// Time within which the first event of the answer should arrive.
     pub objective: Duration,
-    /// Whether the caller retries a request that was refused before: it goes ahead of new requests, and
-    /// isn't refused again while any target can answer it.
+    /// Whether the request was refused before or has already run at a target. It then isn't refused while
+    /// any target can answer it, however long it waits.
     pub is_retry: bool,
     /// Targets to which the request was already sent.
     pub tried: &'a [Name],
@@ -163,16 +163,23 @@
     hash: u32,
     /// Hash of the target's group.
     group_hash: u32,
+    /// Online requests that this host has in flight at the target.
     own_online: u32,
+    /// Batch items that this host has in flight at the target.
     own_batch: u32,
+    /// Online requests that other hosts have in flight there, as far as reported or granted.
     others_online: u32,
+    /// Batch items that other hosts have in flight there, as far as reported or granted.
     others_batch: u32,
     peak: RecentPeak,
     orphaned: OrphanedWork,
     /// Load that the target reported last, until it is sent on to the owner of the group.
     unreported_load: Option<u16>,
+    /// End of the backoff after a refusal for lack of capacity.
     full_until: Option<Instant>,
+    /// End of the backoff after failures.
     backoff_until: Option<Instant>,
+    /// Failures since the last correct answer.
     failures: u32,
     /// Whether the target's zone is drained.
     is_drained: bool,
@@ -190,7 +197,7 @@
         self.own_batch + self.others_batch
     }
 
-    /// Returns the amount of work that live hosts have in flight.
+    /// Returns the amount of work that alive hosts have in flight.
     fn in_flight(&self) -> u32 {
         self.online() + self.batch()
     }
@@ -226,10 +233,14 @@
     zone: AvailabilityZone,
     policy: PlacementPolicy,
     entries: SortedMap<Name, PlacementEntry>,
+    /// Identities of the targets, by hash.
     hashes: SortedMap<u32, Name>,
+    /// Groups that ever had a target, by hash.
     groups: SortedMap<u32, SlotGroup>,
+    /// What other hosts have in flight, as last reported or granted.
     peer_loads: SortedMap<HostId, Vec<TargetLoad>>,
     outliers: OutlierDetector,
+    /// Moving average of the time for which a request holds a slot.
     average_hold: Duration,
     /// Zones whose targets receive no new work, sorted by name.
     drained: Vec<AvailabilityZone>,
--- a/crates/cuminramp-fleet/src/placement/cold.rs
+++ b/crates/cuminramp-fleet/src/placement/cold.rs
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Returns the time until the first of these targets, whose rate is used up, may receive a request
-    /// again.
+    /// Returns the time until the first of these targets, whose rates are used up, may receive a request
+    /// again; `None` if `entries` is empty.
     pub(super) fn cold_wait(&self, entries: &[&PlacementEntry], now: Instant) -> Option<Duration> {
         let waits = entries.iter().filter_map(|entry| {
             let oldest = entry.sends.iter().find(|at| now.duration_since(**at) < RATE_WINDOW);
@@ -158,7 +158,8 @@
         waits.min()
     }
 
-    /// Records that a target is sent a number of requests.
+    /// Records that a number of requests is sent to the target with this hash. Ignored for pools without a
+    /// rule for cold targets.
     pub fn record_sends(&mut self, target: u32, requests: u16, now: Instant) {
         let id = self.hashes.get(&target);
         let Some(entry) = id.and_then(|id| self.entries.get_mut(id)) else { return };
@@ -168,8 +169,8 @@
         (0..requests).for_each(|_| entry.record_send(now));
     }
 
-    /// Returns the cold targets of a pool, in one group or in all, each with the number of hosts that may
-    /// send requests there without an owner.
+    /// Returns the hashes of the cold targets of a pool, in one group or in all, each with the number of
+    /// hosts that may send requests there without an owner.
     pub fn cold_targets(
         &self,
         pool: &str,
--- a/crates/cuminramp-fleet/src/placement/group.rs
+++ b/crates/cuminramp-fleet/src/placement/group.rs
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Returns the targets of a group with free slots for batch items, and the number of those slots.
+    /// Returns the targets of a group with free slots for batch items: the target's hash, and the number of
+    /// those slots.
     pub(crate) fn free_batch_slots(
         &self,
         group: &SlotGroup,
@@ -95,7 +96,7 @@
         if self.is_outlier(entry) { entry.target.slots.min(1) } else { entry.target.slots }
     }
 
-    /// Returns the targets of a group with more work than slots: the target, the number of items to
+    /// Returns the targets of a group with more work than slots: the target's hash, the number of items to
     /// preempt, and the number of this host's items there.
     pub(crate) fn overcommitted(&self, group: &SlotGroup) -> Vec<(u32, u32, u32)> {
         let hash = group.hash();
--- a/crates/cuminramp-fleet/src/placement/placing.rs
+++ b/crates/cuminramp-fleet/src/placement/placing.rs
@@ -51,7 +51,7 @@
 
     /// Sends a request to the target with the shortest queue, or refuses it if it would wait longer than
     /// its share of the objective: a retry that arrives when slots are free is worth more than a late
-    /// answer.
+    /// answer. A retry itself is never refused for its wait.
     fn queue_or_refuse(
         &self,
         available: &[&PlacementEntry],
@@ -119,9 +119,9 @@
         f64::from(entry.target.slots - entry.total() + bonus) - penalty
     }
 
-    /// Returns the target where a batch item is best preempted: one with the fewest items beyond its
-    /// slots, and among those one where this host holds an item, since this host cancels that item before
-    /// it sends the request.
+    /// Returns the target where a batch item is best preempted: one with the least work beyond its slots,
+    /// and among those one where this host has an item in flight, since this host preempts that item
+    /// before it sends the request.
     pub(super) fn pick_preemptible<'a>(
         &self,
         available: &[&'a PlacementEntry],
