--- a/crates/cuminramp-fleet/src/jobs.rs
+++ b/crates/cuminramp-fleet/src/jobs.rs
@@ -118,7 +118,7 @@
         self.unfinished == 0
     }
 
-    /// Returns the index and progress of each waiting item that has received an event.
+    /// Returns the index and progress of each waiting item of which at least one event was received.
     pub fn progress(&self) -> impl Iterator<Item = (usize, &ItemProgress)> {
         let started = self.items.iter().enumerate().filter(|(_, entry)| {
             entry.phase == ItemPhase::Waiting && entry.progress.last_event.is_some()
@@ -184,7 +184,7 @@
         self.jobs.insert(spec.id.clone(), HeldJob { spec, items, unfinished });
     }
 
-    /// Removes a job that ended, completed or is now held by another host.
+    /// Removes a job that its caller ended, that completed, or that another host now holds.
     pub fn remove(&mut self, id: &str) -> Option<HeldJob> {
         self.jobs.remove(id)
     }
@@ -208,9 +208,9 @@
     /// Returns the items that can be sent to a target now, for the jobs that `accepts` selects,
     /// grouped by urgency.
     ///
-    /// The groups beyond [`MAX_DEMAND_GROUPS`] are merged into the last one and get its urgency. With
-    /// the urgency of the first merged group, items that are already late would get slots ahead of
-    /// items of other hosts that can still be in time.
+    /// If there are more than [`MAX_DEMAND_GROUPS`] groups, the least urgent ones are merged into a single
+    /// group with the urgency of the last. With the urgency of the first merged group, items that are
+    /// already late would get slots ahead of items of other hosts that can still be in time.
     pub fn demand(&self, accepts: impl Fn(&JobSpec) -> bool, now: Instant) -> Vec<ItemDemand> {
         let mut groups: Vec<ItemDemand> = Vec::new();
         for job in self.jobs.values().filter(|job| accepts(&job.spec)) {
--- a/crates/cuminramp-fleet/src/jobs/tests.rs
+++ b/crates/cuminramp-fleet/src/jobs/tests.rs
@@ -230,8 +230,8 @@
     assert_eq!(demand.iter().map(|group| group.is_late).collect::<Vec<_>>(), [false, true]);
 }
 
-/// A host that holds hundreds of jobs reports groups for the most urgent ones only. A heartbeat with all of
-/// them would exceed the size that receivers accept, and the host would appear silent.
+/// A host that holds hundreds of jobs reports their items in a few groups. A slot report with one group per
+/// job would exceed the size that receivers accept, and the owner would count the host as silent.
 #[tokio::test(start_paused = true)]
 async fn demand_is_limited_to_max_demand_groups() {
     let jobs = (0..50).map(|index| job(&format!("j{index}"), 20 + index, &["a", "b"])).collect();
--- a/crates/cuminramp-fleet/src/quota.rs
+++ b/crates/cuminramp-fleet/src/quota.rs
@@ -61,8 +61,8 @@
 /// answer its join request within milliseconds; the rest of the window covers lost join requests.
 const SETTLING_WINDOW: Duration = Duration::from_secs(2);
 /// Debt that retried requests may cause: a fraction of the burst, and the maximum number of tokens.
-/// These requests return at the time that they were given, and a second refusal would make them fail for
-/// their callers.
+/// These requests return after the delay that they were given, and a second refusal would make them fail
+/// for their callers.
 const MAX_RETRY_DEBT: (f64, f64) = (0.06, 4.0);
 
 /// Token bucket of one team, and this host's admissions of the team.
@@ -148,6 +148,7 @@
 /// Admission counts received from one incarnation of another host.
 #[derive(Debug, Default)]
 struct ReceivedCounts {
+    /// Last received count of each team, by the hash of its name.
     teams: SortedMap<u32, u32>,
     baseline: CountBaseline,
     /// By team, the value of [`TeamAccount::reserved`] when the host fell silent.
@@ -230,7 +231,7 @@
     }
 
     /// Decides on one request of `team`, and counts it if it is admitted. `is_retry` is set if the request
-    /// was refused before and returns at the time that it was given.
+    /// was refused before and returns after the delay that it was given.
     pub fn admit(&mut self, team: &Name, is_retry: bool, now: Instant) -> QuotaDecision {
         let alive_share = self.alive_share;
         let cost = alive_share.cost();
--- a/crates/cuminramp-fleet/src/quota/tests/partition.rs
+++ b/crates/cuminramp-fleet/src/quota/tests/partition.rs
@@ -17,7 +17,7 @@
 const BURSTY: (f64, f64) = (10.0, 100.0);
 const WINDOW: Duration = Duration::from_secs(5);
 const STEP: Duration = Duration::from_millis(5);
-/// Steps between two heartbeats of a host that has admitted nothing .
+/// Steps between two heartbeats of a host that has admitted nothing.
 const IDLE_HEARTBEAT_STEPS: usize = 20;
 
 struct FleetHost {
