--- a/crates/cuminramp-fleet/src/heartbeat.rs
+++ b/crates/cuminramp-fleet/src/heartbeat.rs
@@ -102,7 +102,7 @@
     pub reaches_store: bool,
     /// Version of the declarations that the sender applies.
     pub declarations: u64,
-    /// Version up to which the sender knows the targets.
+    /// Version up to which the sender's rows of targets are complete.
     pub targets: u64,
     /// Usage of teams: of all that the sender admitted requests of, or only of those whose usage changed
     /// recently.
--- a/crates/cuminramp-fleet/src/slots/tests/search.rs
+++ b/crates/cuminramp-fleet/src/slots/tests/search.rs
@@ -13,7 +13,7 @@
 }
 
 /// Responds to slot requests until the search queues, refuses or fails. `waits` are the waits by zone; groups
-/// of other zones are empty. Returns the zones that were asked, and the last step.
+/// of other zones have no target. Returns the zones that were asked, and the last step.
 fn run(
     search: &mut SlotSearch,
     limits: SearchLimits,
