--- a/crates/cuminramp-fleet/src/placement.rs
+++ b/crates/cuminramp-fleet/src/placement.rs
@@ -74,7 +74,7 @@
     ///     slots: 8,
     ///     phase: TargetPhase::Serving,
     ///     started_at_ms: 1,
-    ///     cold_for: std::time::Duration::ZERO,
+    ///     cold_remaining: std::time::Duration::ZERO,
     /// };
     /// assert_eq!(&*target.group().zone, "z");
     /// ```
--- a/crates/cuminramp-targets/src/packing.rs
+++ b/crates/cuminramp-targets/src/packing.rs
@@ -36,13 +36,13 @@
     }
 
     /// Returns the targets to use for `in_flight` online requests, counted over all hosts of the pool.
-    /// Leaving targets are excluded. The number of targets grows at once and shrinks by one per interval.
+    /// Draining targets are excluded. The number of targets grows at once and shrinks by one per interval.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
     /// use cuminramp_targets::{OnlinePacking, TargetSpec};
     /// let now = tokio::time::Instant::now();
-    /// let spec = |index| TargetSpec { name: format!("e{index}").into(), slots: 16, leaving: false };
+    /// let spec = |index| TargetSpec { name: format!("e{index}").into(), slots: 16, is_draining: false };
     /// let specs: Vec<TargetSpec> = (0..4).map(spec).collect();
     /// let mut packing = OnlinePacking::new(now);
     /// assert_eq!(packing.choose(&specs, 40.0, now).len(), 4);
--- a/crates/cuminramp-targets/src/retry.rs
+++ b/crates/cuminramp-targets/src/retry.rs
@@ -82,7 +82,7 @@
 ///     is_resumable: false,
 ///     deadline: now + std::time::Duration::from_secs(1),
 ///     max_attempts: 3,
-///     earlier: Execution::NotRun,
+///     earlier_execution: Execution::NotRun,
 /// };
 /// let failure = AttemptFailure { stage: FailureStage::Sent, is_crash: false };
 /// let decision = decide_retry(&traits, failure, 1, now, || true);
