--- a/crates/cuminramp-targets/src/packing.rs
+++ b/crates/cuminramp-targets/src/packing.rs
@@ -36,7 +36,7 @@
     }
 
     /// Returns the targets to use for `in_flight` online requests, counted over all hosts of the pool.
-    /// Leaving targets are excluded. The number of targets grows at once and shrinks by one per interval.
+    /// Draining targets are excluded. The number of targets grows at once and shrinks by one per interval.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
