--- a/crates/cuminramp-gateway/src/entry/calls.rs
+++ b/crates/cuminramp-gateway/src/entry/calls.rs
@@ -28,7 +28,7 @@
 /// Share of the route's objective that a request may wait for its team's rate. A caller should receive a
 /// refusal within a quarter of the objective.
 const RATE_WAIT_SHARE: f64 = 0.2;
-/// Minimum wait before a request asks the quota again.
+/// Minimum wait before the quota is asked again to admit a request.
 const MIN_RATE_WAIT: Duration = Duration::from_millis(2);
 /// Share of the route's timeout. A call with less time left until its deadline counts as a retry.
 const RETRY_DEADLINE_SHARE: f64 = 0.985;
@@ -59,8 +59,8 @@
     );
 }
 
-/// Logs a refused call about a job. Most calls about jobs have no request id, so the job's name is what a
-/// caller's complaint can be traced by.
+/// Logs a refused call about a job. Most calls about jobs have no request ID, so that a caller's
+/// complaint can only be traced by the job's ID.
 fn log_job_refusal(head: &CallHead, job: Option<Name>, version: u64, refusal: &Refusal) {
     log::info!(
         job = job.as_deref().unwrap_or("-"),
@@ -159,8 +159,8 @@
     }
 }
 
-/// Returns whether a caller was refused before: a retry has noticeably less time left until its deadline
-/// than the route's timeout.
+/// Returns whether a call repeats one that was refused: a retry has noticeably less time left until its
+/// deadline than the route's timeout.
 pub(crate) fn is_retry(head: &CallHead, route: &RouteRule) -> bool {
     let threshold = route.timeout.as_secs_f64() * RETRY_DEADLINE_SHARE;
     head.deadline.is_some_and(|left| left.as_secs_f64() < threshold)
--- a/crates/cuminramp-gateway/src/entry/connections.rs
+++ b/crates/cuminramp-gateway/src/entry/connections.rs
@@ -23,7 +23,7 @@
 const MIN_HEAD_BYTES: usize = 8 << 10;
 
 /// Serves callers until the gateway stops. A draining host still accepts connections: callers that have not
-/// received new steering answers yet would otherwise fail.
+/// received new steering responses yet would otherwise fail.
 pub(crate) async fn serve_callers(state: Arc<GatewayState>, listener: TcpListener) {
     while let Some(stream) = accept_next(&listener, &state.stop).await {
         let state = state.clone();
--- a/crates/cuminramp-gateway/src/entry/service_points.rs
+++ b/crates/cuminramp-gateway/src/entry/service_endpoints.rs
@@ -22,7 +22,7 @@
 
 /// Timeout for receiving the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bounds on the number of hosts that a steering answer names.
+/// Bounds on the number of hosts that a steering response names.
 const STEERING_BOUNDS: SteeringBounds = SteeringBounds { min_near_hosts: 2, max_hosts: 64 };
 
 /// Response of a service endpoint.
