--- a/crates/cuminramp-gateway/src/online/forward.rs
+++ b/crates/cuminramp-gateway/src/online/forward.rs
@@ -1,4 +1,4 @@
-//! Passes a target's answer on to the caller.
+//! Passes a target's response on to the caller.
 
 use cuminramp_core::Refusal;
 use cuminramp_targets::FailureStage;
@@ -11,10 +11,10 @@
 use crate::entry::ResponseBody;
 use crate::targets::TargetResponse;
 
-/// Maximum size of an answer that is buffered until it is complete.
-const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Maximum size in bytes of a response that is buffered until it is complete.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Returns the head of the caller's response to a target's answer.
+/// Returns the head of the caller's response, made from the head of the target's response.
 fn response_head(dispatch: &RequestDispatch, target_response: &TargetResponse) -> Response<()> {
     let mut response = Response::new(());
     *response.status_mut() = target_response.parts.status;
@@ -31,7 +31,7 @@
     head.map(|()| ResponseBody::Stream(stream_body(dispatch, response)))
 }
 
-/// Buffers an answer until it is complete, then passes it on. This way an interrupted answer never looks
+/// Buffers a response until it is complete, then passes it on. This way an interrupted response never looks
 /// complete to the caller, and the request can be sent to another target where it may run again.
 pub(crate) async fn forward_complete(
     mut dispatch: RequestDispatch,
@@ -40,7 +40,7 @@
     loop {
         let deadline = dispatch.deadline();
         let head = response_head(&dispatch, &response);
-        let body = Limited::new(response.body, MAX_ANSWER_BYTES).collect();
+        let body = Limited::new(response.body, MAX_RESPONSE_BYTES).collect();
         let failure = match tokio::time::timeout_at(deadline, body).await {
             Ok(Ok(_)) if response.parts.status.is_server_error() && dispatch.may_run_again() => {
                 format!("the target answered {}", response.parts.status)
@@ -60,7 +60,7 @@
                 dispatch.record_crash();
                 error.to_string()
             }
-            Err(_) => "answer not complete before the deadline".to_owned(),
+            Err(_) => "response not complete before the deadline".to_owned(),
         };
         response.run.end_failed();
         let next = match dispatch.decide_next_step(FailureStage::Sent, "broken-answer", &failure) {
--- a/crates/cuminramp-gateway/src/online/mod.rs
+++ b/crates/cuminramp-gateway/src/online/mod.rs
@@ -1,4 +1,4 @@
-//! Online requests, from admission to the end of the answer.
+//! Online requests, from admission to the end of the response.
 
 mod forward;
 mod record;
--- a/crates/cuminramp-gateway/src/online/record.rs
+++ b/crates/cuminramp-gateway/src/online/record.rs
@@ -13,9 +13,9 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum RequestOutcome {
-    /// The caller got the complete answer.
+    /// The caller received the complete response.
     Answered,
-    /// The caller got a target's failure as the answer.
+    /// The caller received the response of a target that failed.
     TargetFailed,
     /// The stream was interrupted and could not be resumed.
     StreamBroken,
@@ -42,7 +42,7 @@
     route: Name,
     team: Name,
     declarations: u64,
-    started: Instant,
+    started_at: Instant,
     first_event: Option<Duration>,
     sends: u32,
     target: Option<Name>,
@@ -51,7 +51,7 @@
     placement_time: Duration,
     outcome: Option<RequestOutcome>,
     is_logged: bool,
-    /// Keeps a leaving host running until the request ends.
+    /// Keeps a draining host running until the request ends or the grace period is over.
     _task_token: TaskTrackerToken,
 }
 
@@ -71,7 +71,7 @@
             route: route.clone(),
             team: team.cloned().unwrap_or_else(none),
             declarations,
-            started: Instant::now(),
+            started_at: Instant::now(),
             first_event: None,
             sends: 0,
             target: None,
@@ -84,8 +84,8 @@
     }
 
     /// Returns when the request was admitted.
-    pub(crate) fn started(&self) -> Instant {
-        self.started
+    pub(crate) fn started_at(&self) -> Instant {
+        self.started_at
     }
 
     /// Records a search for a slot, whether or not it found one.
@@ -111,7 +111,7 @@
         log::info!(
             request_id = &*self.request_id, target_id = self.target.as_deref().unwrap_or("-"),
             failure = failure, detail = detail, sends = self.sends,
-            after_ms = self.started.elapsed().as_millis() as u64, next = next;
+            after_ms = self.started_at.elapsed().as_millis() as u64, next = next;
             "attempt-failed"
         );
     }
@@ -125,10 +125,10 @@
         );
     }
 
-    /// Records that an event is passed on to the caller; only the first one counts.
+    /// Records that an event is passed on to the caller. Only the first call has an effect.
     pub(crate) fn record_first_event(&mut self) {
         if self.first_event.is_none() {
-            let elapsed = self.started.elapsed();
+            let elapsed = self.started_at.elapsed();
             self.first_event = Some(elapsed);
             self.state.metrics.record_first_event(elapsed);
         }
@@ -152,7 +152,7 @@
             code = refusal.code.number(), name = refusal.code.name(),
             execution = refusal.execution.as_str(),
             retry_after_ms = refusal.retry_after.map_or(0, |delay| delay.as_millis() as u64),
-            reason = refusal.message.as_str(), took_ms = self.started.elapsed().as_millis() as u64;
+            reason = refusal.message.as_str(), took_ms = self.started_at.elapsed().as_millis() as u64;
             "request-refused"
         );
     }
@@ -163,9 +163,9 @@
         if self.is_logged {
             return;
         }
-        // Without an outcome, the answer was dropped because the caller closed the connection.
+        // Without an outcome, the response was dropped because the caller closed the connection.
         let outcome = self.outcome.unwrap_or(RequestOutcome::CallerLeft);
-        let elapsed = self.started.elapsed();
+        let elapsed = self.started_at.elapsed();
         self.state.metrics.count_request(outcome.as_str());
         self.state.metrics.record_answer(elapsed);
         log::info!(
--- a/crates/cuminramp-gateway/src/online/serve.rs
+++ b/crates/cuminramp-gateway/src/online/serve.rs
@@ -20,14 +20,14 @@
 use crate::state::{GatewayState, lock};
 use crate::targets::{SendFailure, TargetRequest, TargetResponse, TargetRun, send_request};
 
-/// Maximum number of sends, for one attempt of a caller, that no target runs because it is full or
+/// Maximum number of sends, for one call of a caller, that targets don't run because they are full or
 /// unreachable. Each needs a few milliseconds, and the placement table avoids targets that refused.
 const MAX_NOT_RUN_SENDS: u32 = 5;
 /// Timeout without a response head or data after which a request that may run again is sent to another
 /// target. Callers abandon a stream after two seconds without an event; this leaves the other target
 /// time to send the next one.
 const FAILOVER_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time subtracted from a caller's deadline, so that the final answer still arrives in time.
+/// Time subtracted from a caller's deadline, so that the final response still arrives in time.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
 
 /// A request that passed admission.
@@ -51,13 +51,14 @@
     pub(crate) runs: u32,
     /// Number of sends that no target ran.
     not_run_sends: u32,
-    /// Identifiers of the targets that it was sent to.
+    /// IDs of the targets that the request was sent to. Cleared once all usable targets have failed.
     tried: Vec<Name>,
     /// Last event that was passed on to the caller.
     pub(crate) last_event: Option<u64>,
-    /// Time by which the caller gets its final answer.
+    /// Time by which the caller receives its final response.
     deadline: Instant,
-    /// Hash of team, URI and body, computed on first use. All attempts of a caller have the same one.
+    /// Hash of team, URI and body, computed on first use. All calls that repeat a request have
+    /// the same one.
     fingerprint: OnceLock<u64>,
 }
 
@@ -67,7 +68,7 @@
         if let Some(deadline) = request.head.deadline {
             timeout = timeout.min(deadline.saturating_sub(DEADLINE_MARGIN));
         }
-        let deadline = record.started() + timeout;
+        let deadline = record.started_at() + timeout;
         let last_event = request.head.last_event;
         RequestDispatch {
             state,
@@ -91,8 +92,8 @@
         })
     }
 
-    /// Returns a refusal if the request is quarantined: it crashed as many targets as the limit allows,
-    /// at this host or at others.
+    /// Returns a refusal if the request is quarantined: its crash count, as recorded here or reported by
+    /// another host, has reached the limit.
     fn check_quarantine(&self) -> Result<(), Refusal> {
         let crashes = lock(&self.state.crashes);
         if crashes.is_empty() {
@@ -108,8 +109,8 @@
             .with_retry_after(remaining))
     }
 
-    /// Records a crash: a target's connection broke while this request was the only one on it.
-    /// Other hosts receive the count with the next heartbeat, which is requested here.
+    /// Records that this request may have crashed a target: the only request on a connection is counted when
+    /// the connection breaks. Other hosts receive the count with the next heartbeat, which is requested here.
     pub(crate) fn record_crash(&self) {
         let crashes = lock(&self.state.crashes).on_crash(self.fingerprint(), Instant::now());
         self.record.record_crash(self.fingerprint(), crashes);
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Returns the time by which the caller gets its final answer.
+    /// Returns the time by which the caller receives its final response.
     pub(crate) fn deadline(&self) -> Instant {
         self.deadline
     }
@@ -141,7 +142,7 @@
         self.request.route.is_repeatable() && self.runs < self.request.route.max_attempts
     }
 
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub(crate) fn is_stream(&self) -> bool {
         self.request.route.kind == RouteKind::Stream
     }
@@ -155,13 +156,13 @@
             tried: &self.tried,
             zones: &self.request.zones,
         };
-        let started = Instant::now();
+        let started_at = Instant::now();
         let (decision, placed_by) = find_slot(&self.state, &placement_request).await;
-        self.record.record_placement(placed_by, started.elapsed());
+        self.record.record_placement(placed_by, started_at.elapsed());
         decision
     }
 
-    /// Sends the request to `target` and waits for the head of the answer.
+    /// Sends the request to `target` and waits for the head of the response.
     async fn send(&mut self, target: FleetTarget) -> Result<TargetResponse, SendFailure> {
         self.record.record_send(&target.id);
         let head = TargetHead {
@@ -215,7 +216,7 @@
     }
 
     fn refuse_without_target(&self) -> Refusal {
-        /// Targets register within about a second after they start.
+        /// Retry delay while a pool has no target. Targets register within about a second after they start.
         const NO_TARGET_RETRY_DELAY: Duration = Duration::from_millis(700);
         let reason = format!("pool {} has no target", self.request.pool);
         let execution = if self.runs > 0 { Execution::MayHaveRun } else { Execution::NotRun };
@@ -286,7 +287,8 @@
     /// Returns the delay after which a refused caller should retry. It is short, since another host or
     /// target may be able to serve the request immediately.
     fn retry_after(&self) -> Duration {
-        /// Long enough for the placement tables of all hosts to receive the failures recorded here.
+        /// Retry delay after failed sends. Long enough for the placement tables of all hosts to receive the
+        /// failures recorded here.
         const RETRY_DELAY: Duration = Duration::from_millis(150);
         RETRY_DELAY
     }
@@ -306,7 +308,7 @@
             let execution =
                 if dispatch.record.has_sent() { Execution::MayHaveRun } else { Execution::NotRun };
             let refusal =
-                Refusal::not_run(ResultCode::DeadlineExceeded, "no answer before the deadline");
+                Refusal::not_run(ResultCode::DeadlineExceeded, "no response before the deadline");
             Err(refusal.with_execution(execution))
         }
     };
--- a/crates/cuminramp-gateway/src/online/stream.rs
+++ b/crates/cuminramp-gateway/src/online/stream.rs
@@ -21,16 +21,16 @@
 /// State of a stream that is passed on to a caller.
 struct StreamForwarder {
     dispatch: RequestDispatch,
-    /// Current answer; `None` after the end of the stream.
+    /// Current response of a target; `None` after the end of the stream.
     response: Option<TargetResponse>,
     splitter: EventSplitter,
-    /// Why the current answer can't be read further; applied once the events before it are passed on.
+    /// Why the current response can't be read further; applied once the events before it are passed on.
     read_error: Option<String>,
-    /// Last event that the caller had when the current answer started.
+    /// Last event that the caller had when the current response started.
     resumed_after: Option<u64>,
 }
 
-/// Result of a read from the current answer.
+/// Result of a read from the current response.
 enum StreamStep {
     /// Complete events.
     Events(Bytes),
@@ -40,8 +40,8 @@
     Interrupted(String),
 }
 
-/// Returns the body of a streamed answer. Closing the caller's connection drops it, and with it the
-/// target's answer.
+/// Returns the body of a streamed response. Closing the caller's connection drops it, and with it the
+/// target's response.
 pub(crate) fn stream_body(dispatch: RequestDispatch, response: TargetResponse) -> EventFrames {
     let forwarder = StreamForwarder {
         resumed_after: dispatch.last_event,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Reads from the current answer until there are events to pass on, or the answer ends.
+    /// Reads from the current response until there are events to pass on, or the response ends.
     async fn read_step(&mut self) -> StreamStep {
         loop {
             let taken = self.splitter.take_following(&mut self.dispatch.last_event);
@@ -95,7 +95,7 @@
             }
             let timeout = self.dispatch.read_timeout();
             let Some(response) = &mut self.response else {
-                return StreamStep::Interrupted("no answer".into());
+                return StreamStep::Interrupted("no response".into());
             };
             match tokio::time::timeout(timeout, response.body.frame()).await {
                 Err(_) => {
@@ -105,7 +105,7 @@
                     ));
                 }
                 Ok(Some(Err(error))) => {
-                    // An answer that already brought a new event doesn't count as a crash.
+                    // If the response has brought a new event, its interruption doesn't count as a crash.
                     if self.dispatch.last_event == self.resumed_after {
                         self.dispatch.record_crash();
                     }
@@ -133,7 +133,7 @@
         self.dispatch.record.end(RequestOutcome::Answered);
     }
 
-    /// Resumes the stream at another target, or returns an error that aborts the caller's stream: an answer
+    /// Resumes the stream at another target, or returns an error that aborts the caller's stream: a response
     /// that ends early must not look complete.
     async fn resume_elsewhere(&mut self, reason: &str) -> Result<(), io::Error> {
         if let Some(response) = self.response.take() {
--- a/crates/cuminramp-gateway/src/targets/connections.rs
+++ b/crates/cuminramp-gateway/src/targets/connections.rs
@@ -129,7 +129,8 @@
         None
     }
 
-    /// Adds a connection to the idle ones after a complete response, or closes it if there are enough.
+    /// Adds a connection to the idle ones after a complete response, or closes it if the target already has
+    /// [`MAX_IDLE_PER_TARGET`].
     pub(crate) fn put_back(&self, mut connection: TargetConnection, keep_alive: Option<Duration>) {
         let Some(sender) = connection.sender.take() else { return };
         let keep_alive = keep_alive.map_or(MAX_KEEP_ALIVE, |timeout| timeout.min(MAX_KEEP_ALIVE));
--- a/crates/cuminramp-gateway/src/targets/connections/tests.rs
+++ b/crates/cuminramp-gateway/src/targets/connections/tests.rs
@@ -30,11 +30,11 @@
 async fn a_connect_timeout_leaves_time_for_another_target() {
     let (_listener, _open, address) = full_listener().await;
 
-    let started = Instant::now();
+    let started_at = Instant::now();
     let connection = TargetConnections::default().acquire(&address, true).await;
 
     assert!(connection.is_err());
-    assert!(started.elapsed() < OBJECTIVE * 2 / 3, "{:?}", started.elapsed());
+    assert!(started_at.elapsed() < OBJECTIVE * 2 / 3, "{:?}", started_at.elapsed());
 }
 
 /// Guards against a request that waits for a response on a connection whose other end is gone.
--- a/crates/cuminramp-gateway/src/targets/events.rs
+++ b/crates/cuminramp-gateway/src/targets/events.rs
@@ -74,7 +74,9 @@
 /// half from another run of the request.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
+    /// Received bytes that are not returned yet.
     buffer: BytesMut,
+    /// Number of bytes of `buffer` that were searched for the end of an event.
     scanned: usize,
 }
 
@@ -95,6 +97,7 @@
 
     fn find_end(&mut self) -> Option<usize> {
         let bytes = &self.buffer[..];
+        // The end of an event has up to three bytes, which may arrive in parts.
         let from = self.scanned.saturating_sub(3);
         for at in from..bytes.len() {
             if bytes[at] != b'\n' {
--- a/crates/cuminramp-gateway/src/targets/send.rs
+++ b/crates/cuminramp-gateway/src/targets/send.rs
@@ -23,7 +23,7 @@
     pub(crate) path: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// Request id that the response has to carry.
+    /// Request ID that the response has to carry.
     pub(crate) request_id: Option<Name>,
     /// Whether the request is sent over a new connection.
     pub(crate) needs_new_connection: bool,
@@ -43,7 +43,8 @@
         /// Status of the response.
         status: StatusCode,
     },
-    /// The connection broke after the request was sent.
+    /// The connection broke after the request was sent, or the response has a status in [`NOT_RUN_STATUSES`]
+    /// although the target did not state that the request was not run.
     Broken(String),
     /// No response arrived within this timeout.
     Silent(Duration),
@@ -163,7 +164,7 @@
         let is_reused = acquired.is_reused;
         run.connection = Some(acquired);
         let Some(sender) = run.connection.as_mut().and_then(TargetConnection::sender) else {
-            return Err(SendFailure::NotSent("connection is gone".into()));
+            return Err(SendFailure::NotSent("the connection is closed".into()));
         };
         match tokio::time::timeout_at(deadline, sender.try_send_request(http_request)).await {
             Err(_) => return Err(SendFailure::Silent(request.head_timeout)),
@@ -188,7 +189,7 @@
     Ok((parts, head, body))
 }
 
-/// Checks that a response belongs to the request and reports a run of it.
+/// Checks that a response belongs to the request and that the target ran the request.
 ///
 /// A late response to an earlier request may arrive on the connection while this one is expected. Without the
 /// check, the caller would receive the response to another request, or a wrong "not run".
@@ -199,7 +200,7 @@
     is_reused: bool,
 ) -> Result<(), SendFailure> {
     let is_for_request = head.request_id == request.request_id;
-    // A refusal may lack the request id, for example if the target could not parse the head. On a reused
+    // A refusal may lack the request ID, for example if the target could not parse the head. On a reused
     // connection it could then belong to an earlier request.
     let is_refusal = head.is_misdirected || head.is_not_run;
     if is_refusal && (is_for_request || (head.request_id.is_none() && !is_reused)) {
@@ -209,7 +210,7 @@
     if !is_for_request || !head.is_signed || is_refusal {
         return Err(SendFailure::Foreign);
     }
-    // The status would promise the caller that the request was not run, which the target did not state.
+    // This status would guarantee to the caller that the request was not run, which the target did not state.
     if NOT_RUN_STATUSES.contains(&parts.status.as_u16()) {
         return Err(SendFailure::Broken(parts.status.to_string()));
     }
