--- a/crates/cuminramp-gateway/src/slots/cold.rs
+++ b/crates/cuminramp-gateway/src/slots/cold.rs
@@ -28,8 +28,8 @@
 
 /// Returns the cold targets to which this host may send without an owner's grant.
 ///
-/// For each target, rendezvous hashing selects a few hosts that may. The requests of all of them together
-/// stay below what the cold target can handle.
+/// For each target, rendezvous hashing selects a few hosts that may send to it. The requests of all of them
+/// together stay below what the cold target can handle.
 pub(super) fn share_without_owner(
     state: &GatewayState,
     pool: &str,
--- a/crates/cuminramp-gateway/src/slots/mod.rs
+++ b/crates/cuminramp-gateway/src/slots/mod.rs
@@ -39,9 +39,9 @@
 
 impl SlotState {
     /// Creates the state of a host that owns and uses no slot yet.
-    pub(crate) fn new(me: HostId) -> Self {
+    pub(crate) fn new(local_id: HostId) -> Self {
         SlotState {
-            ledger: SlotLedger::new(me).into(),
+            ledger: SlotLedger::new(local_id).into(),
             owners: Default::default(),
             report_timer: Default::default(),
             report_timer_changed: Notify::new(),
@@ -61,13 +61,14 @@
         self.bring_all_reports_forward();
     }
 
-    /// Sends the next report on a group soon: a slot came free, or items wait for one.
+    /// Brings the next report on a group forward, because a slot came free or items wait for one.
     pub(crate) fn bring_report_forward(&self, group: &SlotGroup) {
         lock(&self.report_timer).bring_forward(group, Instant::now());
         self.report_timer_changed.notify_one();
     }
 
-    /// Schedules the next report on a group at the usual interval: a slot that its owner granted is in use.
+    /// Schedules the next report on a group at the usual interval, because a slot granted by its owner is in
+    /// use.
     pub(crate) fn schedule_report(&self, group: &SlotGroup) {
         lock(&self.report_timer).schedule(group, Instant::now());
         self.report_timer_changed.notify_one();
@@ -79,20 +80,21 @@
     }
 
     /// Records a grant and returns whether it may be used. A grant that arrives after a report acknowledged
-    /// a later one may not: by that report, its owner counts it as unused.
+    /// a later one must not be used, because its owner counts it as unused since that report.
     fn accept_grant(&self, owner: &Name, grant: u64) -> bool {
         let mut grants = lock(&self.grants);
         grants.get_or_insert_with(owner.clone(), GrantSequence::default).accept(grant)
     }
 
-    /// Returns the number of the last grant received from an owner, for a report that acknowledges it.
+    /// Marks the grants received from an owner as acknowledged, and returns the number of the last one for
+    /// the report that acknowledges them.
     fn acknowledge_grants(&self, owner: &Name) -> u64 {
         let mut grants = lock(&self.grants);
         grants.get_or_insert_with(owner.clone(), GrantSequence::default).acknowledge()
     }
 }
 
-/// Returns the owner of a group as seen by this host.
+/// Returns the owner of a group as seen by this host; `None` if no host may own it.
 fn owner_of(state: &GatewayState, group: &SlotGroup) -> Option<HostId> {
     let is_local_ready = state.is_ready();
     let peers = lock(&state.peers);
--- a/crates/cuminramp-gateway/src/slots/owner.rs
+++ b/crates/cuminramp-gateway/src/slots/owner.rs
@@ -55,7 +55,7 @@
     respond_to_request(state, &host, &group, &request).await;
 }
 
-/// Handles a report from another host of what it has in flight.
+/// Handles a report from another host of its work in flight and its waiting items.
 pub(crate) async fn handle_report(state: &Arc<GatewayState>, from: &Name, report: SlotReport) {
     let host = HostId { address: from.clone(), incarnation: report.incarnation };
     let group = {
@@ -115,7 +115,8 @@
     }
 }
 
-/// Handles a report from another host that an owner is silent.
+/// Handles an owner failure report from another host. The owner is excluded here as well once two hosts have
+/// reported it.
 pub(crate) fn handle_owner_failure(state: &GatewayState, from: &Name, failure: &OwnerFailure) {
     let failed = failure.failed_host();
     let is_new = lock(&state.slots.owners).receive_failure(from, &failed, Instant::now());
--- a/crates/cuminramp-gateway/src/slots/report.rs
+++ b/crates/cuminramp-gateway/src/slots/report.rs
@@ -71,7 +71,8 @@
 }
 
 /// Reports waiting items to owners: to the owner in this host's zone at once, to those of other zones with
-/// the next scheduled report. If all owners received it at once, each would grant slots for the same items.
+/// the next scheduled report. If all owners received the demand at once, each would grant slots for the
+/// same items.
 pub(crate) fn request_item_slots(state: &GatewayState) {
     for pool in waiting_pools(state) {
         let groups = lock(&state.placement).groups(&pool);
--- a/crates/cuminramp-gateway/src/slots/request.rs
+++ b/crates/cuminramp-gateway/src/slots/request.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Finds a slot for a request, and returns the decision with the host that made it.
+/// Finds a slot for a request, and returns the decision and which host made it.
 pub(crate) async fn find_slot(
     state: &Arc<GatewayState>,
     request: &PlacementRequest<'_>,
@@ -61,7 +61,7 @@
     let mut groups = lock(&state.placement).groups(request.pool);
     groups.retain(|group| request.zones.allows(&group.zone));
     let unreachable = unreachable_zones(state, &groups);
-    if unreachable.len() == groups.len() && !groups.is_empty() && !has_majority(state) {
+    if unreachable.len() == groups.len() && !groups.is_empty() && !has_at_least_half(state) {
         return (PlacementDecision::Full(CUT_OFF_RETRY_DELAY), PlacedBy::NoOwner);
     }
     let mut failed = lock(&state.placement).zones_of(request.tried);
@@ -111,7 +111,8 @@
     unreachable.map(|group| group.zone.clone()).collect()
 }
 
-fn has_majority(state: &GatewayState) -> bool {
+/// Returns whether at least half of all hosts are alive. With fewer, this host itself is presumed cut off.
+fn has_at_least_half(state: &GatewayState) -> bool {
     lock(&state.peers).has_at_least_half(Instant::now())
 }
 
@@ -138,11 +139,11 @@
     tried: &[Name],
 ) -> Option<(SlotOutcome, PlacedBy)> {
     let request = build_slot_request(state, group, may_queue, tried);
-    let me = state.id();
+    let local_id = state.id();
     for _ in 0..MAX_OWNERS {
         let owner = owner_of(state, group)?;
-        if owner == me {
-            let response = respond_to_request(state, &me, group, &request).await;
+        if owner == local_id {
+            let response = respond_to_request(state, &local_id, group, &request).await;
             return Some((response.outcome, PlacedBy::LocalOwner));
         }
         match request_from_owner(state, &owner, &request).await {
@@ -179,7 +180,7 @@
     Outcome(SlotOutcome),
     /// The owner did not respond.
     Silent,
-    /// This host ran late itself: the response may have arrived and be unread.
+    /// This host itself was delayed: the response may have arrived, but is not read yet.
     LocalDelay,
 }
 
