--- a/crates/cuminramp-gateway/src/jobs/directory.rs
+++ b/crates/cuminramp-gateway/src/jobs/directory.rs
@@ -17,13 +17,13 @@
 use crate::state::{GatewayState, lock};
 use crate::sync::TableFollower;
 
-/// Minimum delay between two watches of the jobs table, so that one response carries changes of many jobs.
+/// Minimum pause between two watches of the jobs table, so that one response carries changes of many jobs.
 /// Callers read results about twice a second, and an ended job has to stop within seconds.
-const MIN_WATCH_DELAY: Duration = Duration::from_millis(250);
+const MIN_WATCH_PAUSE: Duration = Duration::from_millis(250);
 
-/// Maximum delay between two watches in a large fleet. Every host watches every job, so with the minimum
-/// delay most calls to the store would be watches.
-const MAX_WATCH_DELAY: Duration = Duration::from_millis(1_000);
+/// Maximum pause between two watches in a large fleet. Every host watches every job, so with the minimum
+/// pause most calls to the store would be watches.
+const MAX_WATCH_PAUSE: Duration = Duration::from_millis(1_000);
 
 /// Maximum number of ended jobs that one heartbeat reports, some 2 KB. Receivers don't read heartbeats
 /// over 60 KiB, so a larger one would make its host appear silent.
@@ -97,11 +97,11 @@
         rows.ended.push((EndedJob { job: job.into(), version }, now));
     }
 
-    /// Returns the newest jobs that this host ended within the last `within`, at most [`MAX_REPORTED_ENDS`].
-    /// Removes ends that are older than `within`.
-    pub(crate) fn recently_ended(&self, within: Duration, now: Instant) -> Vec<EndedJob> {
+    /// Returns the jobs that this host ended within the past `window`: the newest ones, at most
+    /// [`MAX_REPORTED_ENDS`]. Forgets ends that are older.
+    pub(crate) fn recently_ended(&self, window: Duration, now: Instant) -> Vec<EndedJob> {
         let mut rows = lock(&self.rows);
-        rows.ended.retain(|(_, at)| now.duration_since(*at) < within);
+        rows.ended.retain(|(_, at)| now.duration_since(*at) < window);
         rows.ended.iter().rev().take(MAX_REPORTED_ENDS).map(|(ended, _)| ended.clone()).collect()
     }
 
@@ -168,16 +168,21 @@
     }
 
     fn pause(&self, schedule: &HeartbeatSchedule) -> Duration {
-        schedule.scale(MIN_WATCH_DELAY, MAX_WATCH_DELAY)
+        schedule.scale(MIN_WATCH_PAUSE, MAX_WATCH_PAUSE)
     }
 
-    async fn reset(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot) {
+    async fn apply_snapshot(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot) {
         for row in snapshot.rows {
             apply_row(state, &row);
         }
     }
 
-    async fn change(&self, state: &Arc<GatewayState>, changes: Vec<RowChange>, _version: u64) {
+    async fn apply_changes(
+        &self,
+        state: &Arc<GatewayState>,
+        changes: Vec<RowChange>,
+        _version: u64,
+    ) {
         for change in changes.into_iter().filter(|change| !change.is_deleted) {
             apply_row(state, &change.row);
         }
--- a/crates/cuminramp-gateway/src/sync/drains.rs
+++ b/crates/cuminramp-gateway/src/sync/drains.rs
@@ -8,7 +8,8 @@
 
 use crate::state::{GatewayState, lock};
 
-/// Applies the drains in a full snapshot of the declarations table, which also holds the operators' rows.
+/// Applies the drains in a full snapshot of the declarations table, which also holds a row for each
+/// zone that operators drain.
 pub(super) fn apply_drain_snapshot(state: &Arc<GatewayState>, snapshot: &TableSnapshot) {
     let listed = snapshot.rows.iter().filter_map(|row| {
         let zone = state.fleet_format.drained_zone(&row.key)?;
--- a/crates/cuminramp-gateway/src/sync/follow.rs
+++ b/crates/cuminramp-gateway/src/sync/follow.rs
@@ -11,7 +11,8 @@
 use crate::state::{GatewayState, lock};
 
 /// Time that one watch waits for changes. A connection that fell silent is detected only when the wait
-/// is over, and changes have to be in force within two seconds, or a few more after an outage.
+/// is over, and changes have to be in force within two seconds, or a few seconds more after an
+/// outage.
 const WATCH_WAIT: Duration = Duration::from_millis(2_500);
 /// Time that one watch waits after a failed call. While the store is unreachable, each attempt hangs for the
 /// whole wait, and a long one would delay the recovery.
@@ -30,42 +31,42 @@
     fn pause(&self, schedule: &HeartbeatSchedule) -> Duration;
 
     /// Applies a full snapshot of the table.
-    async fn reset(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot);
+    async fn apply_snapshot(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot);
 
     /// Applies changes up to `version`.
-    async fn change(&self, state: &Arc<GatewayState>, changes: Vec<RowChange>, version: u64);
+    async fn apply_changes(&self, state: &Arc<GatewayState>, changes: Vec<RowChange>, version: u64);
 }
 
 /// Reads a table and follows its changes. Runs until its task is cancelled.
 pub(crate) async fn follow_table(state: Arc<GatewayState>, follower: impl TableFollower) {
-    let mut pause = RETRY_DELAYS.0;
-    let mut is_lost = false;
+    let mut retry_delay = RETRY_DELAYS.0;
+    let mut is_unreachable = false;
     let mut version = None;
     loop {
         let started_at = Instant::now();
         let outcome = match version {
             None => read_snapshot(&state, &follower).await.map(Some),
             Some(after) => {
-                let wait = if is_lost { OUTAGE_WATCH_WAIT } else { WATCH_WAIT };
+                let wait = if is_unreachable { OUTAGE_WATCH_WAIT } else { WATCH_WAIT };
                 watch_once(&state, &follower, after, wait).await
             }
         };
         match outcome {
             Ok(next) => {
                 lock(&state.updates).record_store_success(Instant::now());
-                if is_lost {
+                if is_unreachable {
                     log::info!(table = follower.table(), version = next.unwrap_or(0); "store-regained");
                 }
-                is_lost = false;
+                is_unreachable = false;
                 version = next;
-                pause = RETRY_DELAYS.0;
+                retry_delay = RETRY_DELAYS.0;
                 let schedule = lock(&state.peers).schedule();
                 tokio::time::sleep(follower.pause(&schedule)).await;
             }
             Err(error) => {
                 state.metrics.count_store_failure("watch");
                 lock(&state.updates).record_store_failure(started_at);
-                if !is_lost {
+                if !is_unreachable {
                     let reason = error.to_string();
                     log::warn!(
                         table = follower.table(), version = version.unwrap_or(0),
@@ -73,9 +74,9 @@
                         "store-lost"
                     );
                 }
-                is_lost = true;
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(RETRY_DELAYS.1);
+                is_unreachable = true;
+                tokio::time::sleep(retry_delay).await;
+                retry_delay = (retry_delay * 2).min(RETRY_DELAYS.1);
             }
         }
     }
@@ -94,7 +95,7 @@
         took_ms = started_at.elapsed().as_millis() as u64;
         "table-read"
     );
-    follower.reset(state, snapshot).await;
+    follower.apply_snapshot(state, snapshot).await;
     Ok(version)
 }
 
@@ -115,7 +116,7 @@
         }
         WatchResponse::Changes { changes, version } => {
             if !changes.is_empty() {
-                follower.change(state, changes, version).await;
+                follower.apply_changes(state, changes, version).await;
             }
             Ok(Some(version.max(after)))
         }
--- a/crates/cuminramp-gateway/src/sync/relay.rs
+++ b/crates/cuminramp-gateway/src/sync/relay.rs
@@ -33,18 +33,18 @@
 /// Interval between two attempts to reach the store again.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Calls the store, through another host while the store does not answer this one.
+/// Calls the store directly, or through another host while the store does not answer this one.
 pub(crate) struct RelayedStore {
     direct: Arc<dyn FleetStore>,
     state: OnceLock<Weak<GatewayState>>,
     /// Whether a direct call has failed; [`probe`] clears it when the store answers again.
-    is_lost: AtomicBool,
+    is_unreachable: AtomicBool,
 }
 
 impl RelayedStore {
     /// Creates a store that calls `direct` and cannot relay until [`attach`](Self::attach) is called.
     pub(crate) fn new(direct: Arc<dyn FleetStore>) -> Self {
-        RelayedStore { direct, state: OnceLock::new(), is_lost: AtomicBool::new(false) }
+        RelayedStore { direct, state: OnceLock::new(), is_unreachable: AtomicBool::new(false) }
     }
 
     /// Sets the gateway state, which holds the other hosts and the connections to them.
@@ -55,22 +55,22 @@
 
     /// Returns whether the store answers this host, as of the last direct call.
     pub(crate) fn is_reachable(&self) -> bool {
-        !self.is_lost.load(Ordering::Relaxed)
+        !self.is_unreachable.load(Ordering::Relaxed)
     }
 
-    /// Makes a small read and returns whether the store answers this host within `limit`.
-    pub(crate) async fn check_within(&self, limit: Duration) -> bool {
+    /// Makes a small read and returns whether the store answers this host within `timeout`.
+    pub(crate) async fn check_within(&self, timeout: Duration) -> bool {
         let Some(state) = self.state() else { return false };
         let key = host_key(&state);
         let reading = self.direct.read(std::slice::from_ref(&key));
-        match tokio::time::timeout(limit, reading).await {
+        match tokio::time::timeout(timeout, reading).await {
             Ok(Ok(_)) => true,
             Ok(Err(error)) => {
                 self.record_failure(&error);
                 false
             }
             Err(_) => {
-                let reason = format!("no answer within {} ms", limit.as_millis());
+                let reason = format!("no answer within {} ms", timeout.as_millis());
                 self.record_failure(&StoreError::Unknown(reason));
                 false
             }
@@ -83,7 +83,7 @@
 
     /// Records a failed direct call and starts probing the store, unless it is already being probed.
     fn record_failure(&self, error: &StoreError) {
-        if self.is_lost.swap(true, Ordering::Relaxed) {
+        if self.is_unreachable.swap(true, Ordering::Relaxed) {
             return;
         }
         let Some(state) = self.state() else { return };
@@ -93,12 +93,12 @@
     }
 
     /// Makes a call through another host. Returns `None` if no live host reaches the store.
-    async fn relay(&self, call: Call, limit: Duration) -> Option<Result<StoreReply, StoreError>> {
+    async fn relay(&self, call: Call, timeout: Duration) -> Option<Result<StoreReply, StoreError>> {
         let state = self.state()?;
         let spread = state.random_below(usize::MAX >> 1);
         let peer = lock(&state.peers).store_relay(spread, Instant::now())?;
         let call = StoreCall { call: Some(call) };
-        let reply = match state.peer_clients.call_store(&peer, call, limit).await {
+        let reply = match state.peer_clients.call_store(&peer, call, timeout).await {
             Some(reply) => reply,
             None => return Some(Err(StoreError::Unknown(format!("{peer} did not reply")))),
         };
@@ -117,7 +117,7 @@
         &self,
         direct: impl Future<Output = Result<T, StoreError>>,
         call: Call,
-        limit: Duration,
+        timeout: Duration,
         read: impl FnOnce(StoreReply) -> T,
     ) -> Result<T, StoreError> {
         if self.is_reachable() {
@@ -125,14 +125,14 @@
                 Ok(value) => return Ok(value),
                 Err(error) => {
                     self.record_failure(&error);
-                    return match self.relay(call, limit).await {
+                    return match self.relay(call, timeout).await {
                         Some(outcome) => outcome.map(read),
                         None => Err(error),
                     };
                 }
             }
         }
-        match self.relay(call, limit).await {
+        match self.relay(call, timeout).await {
             Some(outcome) => outcome.map(read),
             None => direct.await,
         }
@@ -154,7 +154,7 @@
             () = state.stop.cancelled() => return,
         }
     }
-    state.relayed_store.is_lost.store(false, Ordering::Relaxed);
+    state.relayed_store.is_unreachable.store(false, Ordering::Relaxed);
     log::info!(after_ms = started_at.elapsed().as_millis() as u64; "store-in-reach");
     state.request_heartbeat();
 }
@@ -267,8 +267,8 @@
             });
             WatchResponse::Changes { changes: changes.collect(), version }
         };
-        let limit = wait + WATCH_MARGIN;
-        self.call(self.direct.watch(table, after, wait), call, limit, read).await
+        let timeout = wait + WATCH_MARGIN;
+        self.call(self.direct.watch(table, after, wait), call, timeout, read).await
     }
 }
 
--- a/crates/cuminramp-gateway/src/sync/updates.rs
+++ b/crates/cuminramp-gateway/src/sync/updates.rs
@@ -15,7 +15,7 @@
 use super::follow::TableFollower;
 use crate::state::{GatewayState, lock};
 
-/// Delay before another host is asked for updates, in which they usually arrive from the store.
+/// Delay before updates are requested from another host. Within it, they usually arrive from the store.
 const UPDATE_REQUEST_DELAY: Duration = Duration::from_millis(150);
 
 /// Pause between two watches of the declarations table.
@@ -38,7 +38,7 @@
     declarations: SortedMap<String, Row>,
     targets: RowCache,
     /// Start of the first failed call of the current outage; `None` while calls succeed.
-    lost_since: Option<Instant>,
+    outage_started: Option<Instant>,
     /// End of the last outage that was at least [`MIN_EXPIRY_OUTAGE`] long.
     outage_ended: Option<Instant>,
 }
@@ -51,12 +51,12 @@
 
     /// Records that a store call that started at `started_at` failed.
     pub(crate) fn record_store_failure(&mut self, started_at: Instant) {
-        self.lost_since.get_or_insert(started_at);
+        self.outage_started.get_or_insert(started_at);
     }
 
     /// Records that a store call succeeded, which ends an outage.
     pub(crate) fn record_store_success(&mut self, now: Instant) {
-        let Some(since) = self.lost_since.take() else { return };
+        let Some(since) = self.outage_started.take() else { return };
         if now.duration_since(since) >= MIN_EXPIRY_OUTAGE {
             self.outage_ended = Some(now);
         }
@@ -68,7 +68,9 @@
         let ended_recently =
             self.outage_ended.is_some_and(|at| now.duration_since(at) < RENEWAL_WINDOW);
         ended_recently
-            || self.lost_since.is_some_and(|since| now.duration_since(since) >= MIN_EXPIRY_OUTAGE)
+            || self
+                .outage_started
+                .is_some_and(|since| now.duration_since(since) >= MIN_EXPIRY_OUTAGE)
     }
 }
 
@@ -93,14 +95,19 @@
     }
 
     /// Applies drains before declarations: once declarations are in force, requests are sent to targets.
-    async fn reset(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot) {
+    async fn apply_snapshot(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot) {
         apply_drain_snapshot(state, &snapshot);
         for row in snapshot.rows {
             apply_declarations(state, row, "store");
         }
     }
 
-    async fn change(&self, state: &Arc<GatewayState>, changes: Vec<RowChange>, _version: u64) {
+    async fn apply_changes(
+        &self,
+        state: &Arc<GatewayState>,
+        changes: Vec<RowChange>,
+        _version: u64,
+    ) {
         apply_drain_changes(state, &changes);
         for change in changes.into_iter().filter(|change| !change.is_deleted) {
             apply_declarations(state, change.row, "store");
@@ -147,7 +154,7 @@
         schedule.scale(TARGETS_PAUSE, MAX_TARGETS_PAUSE)
     }
 
-    async fn reset(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot) {
+    async fn apply_snapshot(&self, state: &Arc<GatewayState>, snapshot: TableSnapshot) {
         let rows = snapshot.rows.into_iter().map(into_known).collect();
         let mut updates = lock(&state.updates);
         let actions = updates.targets.apply_snapshot(rows, snapshot.version, Instant::now());
@@ -155,7 +162,12 @@
         apply_actions(state, actions, "store");
     }
 
-    async fn change(&self, state: &Arc<GatewayState>, changes: Vec<RowChange>, version: u64) {
+    async fn apply_changes(
+        &self,
+        state: &Arc<GatewayState>,
+        changes: Vec<RowChange>,
+        version: u64,
+    ) {
         let now = Instant::now();
         let changes = changes.into_iter().map(|change| ChangedRow {
             row: into_known(change.row),
@@ -176,7 +188,7 @@
     KnownRow { key: row.key, value: row.value, version: row.version }
 }
 
-/// Puts and removes targets as the cache of target rows decided.
+/// Applies the actions that the cache of target rows returned: adds, updates and removes targets.
 fn apply_actions(state: &Arc<GatewayState>, actions: Vec<RowAction>, source: &str) {
     for action in actions {
         match action {
