--- a/crates/cuminramp-gateway/src/jobs/accept.rs
+++ b/crates/cuminramp-gateway/src/jobs/accept.rs
@@ -49,7 +49,7 @@
     lock_key: String,
     /// Key of the job's row.
     job_key: String,
-    started: Instant,
+    started_at: Instant,
     /// Whether the outcome of a write is unknown, so that it may still take effect.
     has_pending_write: bool,
 }
@@ -72,15 +72,15 @@
     body: Bytes,
     version: u64,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let started = Instant::now();
-    let outcome = accept(state, route, &caller, &body, started).await;
+    let started_at = Instant::now();
+    let outcome = accept(state, route, &caller, &body, started_at).await;
     let items = caller.head.request_id.as_deref().and_then(|id| state.directory.get(id));
     let items = items.map_or(0, |known| known.row.total);
     let job = caller.head.request_id.as_deref().unwrap_or("-");
-    let took_ms = started.elapsed().as_millis() as u64;
+    let took_ms = started_at.elapsed().as_millis() as u64;
     match &outcome {
         Ok(kind) => {
-            state.metrics.record_acceptance(started.elapsed());
+            state.metrics.record_acceptance(started_at.elapsed());
             log::info!(
                 job = job, team = &*caller.team, route = &*route.name, declarations = version,
                 items = items, outcome = *kind, took_ms = took_ms;
@@ -98,12 +98,13 @@
     outcome.map(|_| complete_response(StatusCode::ACCEPTED, Bytes::from_static(b"{}")))
 }
 
+/// Accepts a job and returns the outcome for the log line: `known`, `accepted` or `repeated`.
 async fn accept(
     state: &Arc<GatewayState>,
     route: &RouteRule,
     caller: &JobCaller,
     body: &Bytes,
-    started: Instant,
+    started_at: Instant,
 ) -> Result<&'static str, Refusal> {
     let Some(id) = caller.head.request_id.clone() else {
         return Err(Refusal::not_run(ResultCode::FieldInvalid, "the job has no request ID"));
@@ -124,7 +125,7 @@
         .call_format
         .read_job(body)
         .map_err(|error| Refusal::not_run(ResultCode::BodyMalformed, error.to_string()))?;
-    let mut draft = build_draft(state, route, caller, &id, &items, body, started);
+    let mut draft = build_draft(state, route, caller, &id, &items, body, started_at);
     if draft.row.input_rows == 0 {
         store_input_object(state, &draft).await?;
     }
@@ -135,6 +136,7 @@
     Ok(outcome)
 }
 
+/// Returns whether the directory has a job with this ID of the team.
 fn is_known(state: &GatewayState, id: &str, team: &str) -> bool {
     state.directory.get(id).is_some_and(|known| known.row.team == team)
 }
@@ -146,7 +148,7 @@
     id: &Name,
     items: &[ItemSpec],
     body: &Bytes,
-    started: Instant,
+    started_at: Instant,
 ) -> JobDraft {
     let tokens = items.iter().map(|item| item.tokens).sum();
     let input = encode_input(items);
@@ -179,7 +181,7 @@
         max_waiting_tokens: route.max_waiting_tokens,
         lock_key: acceptance_lock_key(&caller.team),
         job_key: job_key(&caller.team, id),
-        started,
+        started_at,
         has_pending_write: false,
     }
 }
@@ -210,7 +212,7 @@
     loop {
         match state.store.put(&name, draft.input.clone()).await {
             Ok(()) => return Ok(()),
-            Err(error) if draft.started.elapsed() >= ACCEPT_TIMEOUT => {
+            Err(error) if draft.started_at.elapsed() >= ACCEPT_TIMEOUT => {
                 return Err(unavailable(error.to_string()));
             }
             Err(error) => {
@@ -221,8 +223,8 @@
     }
 }
 
-/// Reads and writes the jobs table until the job is accepted or refused. Returns the outcome that the log
-/// line shows.
+/// Reads and writes the jobs table until the job is accepted or refused. Returns the outcome for the log
+/// line: `accepted`, or `repeated` if another call had the job accepted.
 async fn make_durable(
     state: &Arc<GatewayState>,
     draft: &mut JobDraft,
@@ -274,7 +276,7 @@
         max_waiting_tokens: draft.max_waiting_tokens,
         is_fresh,
         has_pending_write: draft.has_pending_write,
-        is_past_deadline: draft.started.elapsed() >= ACCEPT_TIMEOUT,
+        is_past_deadline: draft.started_at.elapsed() >= ACCEPT_TIMEOUT,
     }
 }
 
@@ -383,7 +385,7 @@
     state.metrics.count_store_failure("accept");
     log::warn!(
         job = draft.row.id.as_str(), team = draft.row.team.as_str(), reason = reason,
-        since_ms = draft.started.elapsed().as_millis() as u64;
+        since_ms = draft.started_at.elapsed().as_millis() as u64;
         "job-not-written"
     );
 }
--- a/crates/cuminramp-gateway/src/jobs/checkpoint.rs
+++ b/crates/cuminramp-gateway/src/jobs/checkpoint.rs
@@ -26,7 +26,7 @@
 const MAX_WRITE_ROWS: usize = 90;
 /// Interval between two checks for unsaved progress.
 const SAVE_INTERVAL: Duration = Duration::from_millis(500);
-/// Minimum target time that an item has run since its last saved progress before its progress is saved
+/// Minimum time that an item has run on targets since its last saved progress before its progress is saved
 /// again. Less isn't worth a write.
 const MIN_UNSAVED_RUN: Duration = Duration::from_millis(600);
 
--- a/crates/cuminramp-gateway/src/jobs/end.rs
+++ b/crates/cuminramp-gateway/src/jobs/end.rs
@@ -22,7 +22,8 @@
 
 /// Timeout after which a host stops trying to make a job's end durable.
 const END_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Delay after a failed call to the store, and the one after which callers should retry.
+/// Delay after a failed call to the store, both before this host retries and before a refused caller should
+/// retry.
 const RETRY_DELAY: Duration = Duration::from_millis(80);
 
 /// Ends a job: listed results stay readable, and its unfinished items are not run.
@@ -31,13 +32,13 @@
     caller: &JobCaller,
     job: &str,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let started = Instant::now();
+    let started_at = Instant::now();
     let mut known = find_job(state, caller, job).await?;
     while known.is_open() {
         match try_end(state, &known).await {
             Ok(true) => break,
             Ok(false) => {}
-            Err(error) if started.elapsed() >= END_TIMEOUT => {
+            Err(error) if started_at.elapsed() >= END_TIMEOUT => {
                 let refusal = Refusal::not_run(ResultCode::StoreUnavailable, error.to_string());
                 return Err(refusal.with_retry_after(RETRY_DELAY));
             }
@@ -53,7 +54,7 @@
         state.directory.record_end(job, known.version, Instant::now());
     }
     log::info!(
-        job = job, team = &*caller.team, took_ms = started.elapsed().as_millis() as u64;
+        job = job, team = &*caller.team, took_ms = started_at.elapsed().as_millis() as u64;
         "job-ended"
     );
     Ok(complete_response(StatusCode::OK, Bytes::from_static(b"{}")))
--- a/crates/cuminramp-gateway/src/jobs/hand_over.rs
+++ b/crates/cuminramp-gateway/src/jobs/hand_over.rs
@@ -17,11 +17,11 @@
 /// lost.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Stops all items and writes each held job back without a holder, with the progress of its items.
+/// Cancels all items and writes each held job back without a holder, with the progress of its items.
 pub(crate) async fn hand_over_jobs(state: &Arc<GatewayState>) {
-    state.running_items.stop_all();
-    let started = Instant::now();
-    while !state.running_items.is_empty() && started.elapsed() < STOP_TIMEOUT {
+    state.running_items.cancel_all();
+    let started_at = Instant::now();
+    while !state.running_items.is_empty() && started_at.elapsed() < STOP_TIMEOUT {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let jobs: Vec<Name> = lock(&state.jobs).jobs().map(|job| job.spec().id.clone()).collect();
--- a/crates/cuminramp-gateway/src/jobs/run.rs
+++ b/crates/cuminramp-gateway/src/jobs/run.rs
@@ -40,7 +40,7 @@
     target: Name,
     /// When the results of its job are due.
     due: Instant,
-    stop: CancellationToken,
+    cancellation: CancellationToken,
 }
 
 /// Items that this host has in flight on targets.
@@ -61,16 +61,16 @@
     }
 
     /// Cancels all items of a job.
-    fn stop_job(&self, job: &str) {
+    fn cancel_job(&self, job: &str) {
         for item in lock(&self.items).iter().filter(|item| *item.job == *job) {
-            item.stop.cancel();
+            item.cancellation.cancel();
         }
     }
 
     /// Cancels all items.
-    pub(crate) fn stop_all(&self) {
+    pub(crate) fn cancel_all(&self) {
         for item in lock(&self.items).iter() {
-            item.stop.cancel();
+            item.cancellation.cancel();
         }
     }
 
@@ -85,10 +85,10 @@
         let items = lock(&self.items);
         let on_target = items.iter().filter(|item| *item.target == *target);
         let mut running: Vec<&RunningItem> =
-            on_target.filter(|item| !item.stop.is_cancelled()).collect();
+            on_target.filter(|item| !item.cancellation.is_cancelled()).collect();
         running.sort_by_key(|item| std::cmp::Reverse(item.due));
         let excess = running.len().saturating_sub(max_items as usize);
-        running.iter().take(excess).for_each(|item| item.stop.cancel());
+        running.iter().take(excess).for_each(|item| item.cancellation.cancel());
         excess as u32
     }
 }
@@ -96,7 +96,7 @@
 /// Stops work on a job that has ended or that this host no longer holds.
 pub(super) fn stop_job(state: &Arc<GatewayState>, job: &str) {
     lock(&state.jobs).remove(job);
-    state.running_items.stop_job(job);
+    state.running_items.cancel_job(job);
     state.writers.remove(job);
     state.request_heartbeat();
 }
@@ -115,7 +115,7 @@
     }
 }
 
-/// Gives up items whose time has passed and lists them.
+/// Gives up expired items and lists them.
 fn give_up_expired(state: &Arc<GatewayState>) {
     let expired = lock(&state.jobs).give_up_expired(Instant::now());
     for (job, finished) in expired {
@@ -180,17 +180,17 @@
 }
 
 fn start_item(state: &Arc<GatewayState>, start: ItemStart, target: FleetTarget) {
-    let stop = CancellationToken::new();
+    let cancellation = CancellationToken::new();
     let due = lock(&state.jobs).get(&start.job).map_or_else(Instant::now, |job| job.spec().due);
     lock(&state.running_items.items).push(RunningItem {
         job: start.job.clone(),
         index: start.index,
         target: target.id.clone(),
         due,
-        stop: stop.clone(),
+        cancellation: cancellation.clone(),
     });
     let run = TargetRun::begin(state, target, WorkKind::Batch);
-    tokio::spawn(run_item(state.clone(), start, run, stop));
+    tokio::spawn(run_item(state.clone(), start, run, cancellation));
 }
 
 /// How a run of an item on a target ended.
@@ -205,19 +205,19 @@
     state: Arc<GatewayState>,
     start: ItemStart,
     run: TargetRun,
-    stop: CancellationToken,
+    cancellation: CancellationToken,
 ) {
     let target = run.target.id.clone();
-    let started = Instant::now();
+    let started_at = Instant::now();
     let resumed_after = start.progress.last_event;
     let mut progress = start.progress.clone();
     let end = tokio::select! {
         biased;
-        () = stop.cancelled() => RunEnd::Failed(ItemFailure::Preempted, "cancelled".into()),
+        () = cancellation.cancelled() => RunEnd::Failed(ItemFailure::Preempted, "cancelled".into()),
         () = state.stop.cancelled() => return,
         end = send_item(&state, &start, run, &mut progress) => end,
     };
-    progress.run_time += started.elapsed();
+    progress.run_time += started_at.elapsed();
     state.running_items.remove(&start.job, start.index, &target);
     let events = progress.last_event;
     let (label, reason) = match &end {
@@ -229,7 +229,7 @@
         job = &*start.job, item = &*start.item.id, target_id = &*target, outcome = label,
         reason = reason.as_str(), resumed_after = resumed_after.map_or(-1, |id| id as i64),
         last_event = events.map_or(-1, |id| id as i64),
-        took_ms = started.elapsed().as_millis() as u64;
+        took_ms = started_at.elapsed().as_millis() as u64;
         "item-run"
     );
     finish_run(&state, &start, end, progress);
@@ -261,7 +261,8 @@
     state.request_heartbeat();
 }
 
-/// Returns the end of a run whose target stopped working on the item.
+/// Returns the end of a run that the target did not complete: it broke the connection, fell silent or sent an
+/// unusable response.
 fn broken(reason: impl Into<String>) -> RunEnd {
     RunEnd::Failed(ItemFailure::Crashed, reason.into())
 }
@@ -385,9 +386,10 @@
     state: Arc<GatewayState>,
     job: Name,
     index: usize,
-    started: Instant,
-    /// Target time of earlier runs.
+    started_at: Instant,
+    /// Time that earlier runs of the item took.
     run_time_before: Duration,
+    /// When progress was last recorded.
     recorded: Instant,
 }
 
@@ -398,7 +400,7 @@
             state: state.clone(),
             job: start.job.clone(),
             index: start.index,
-            started: now,
+            started_at: now,
             run_time_before: progress.run_time,
             recorded: now,
         }
@@ -409,7 +411,7 @@
             return;
         }
         self.recorded = Instant::now();
-        let run_time = self.run_time_before + self.started.elapsed();
+        let run_time = self.run_time_before + self.started_at.elapsed();
         let progress = ItemProgress { run_time, ..progress.clone() };
         lock(&self.state.jobs).record_progress(&self.job, self.index, &progress);
     }
