--- a/crates/cuminramp-gateway/src/gateway.rs
+++ b/crates/cuminramp-gateway/src/gateway.rs
@@ -35,23 +35,24 @@
     drop_missing_targets, follow_table, withdraw_host,
 };
 
-/// Silence after which the jobs of a host are taken over. It is long enough for a process to be killed and
-/// started again, and for a host to be frozen briefly.
+/// Minimum silence after which the jobs of a host are taken over. It is long enough for a process to be
+/// killed and started again, and for a host to be frozen briefly.
 const PEER_POLICY: PeerPolicy = PeerPolicy { lost_timeout: Duration::from_millis(1_500) };
 /// Interval at which silent hosts, missing targets and expired idle connections are handled.
 const UPKEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// Number of upkeep intervals between two log lines with the load: one line in two seconds.
+/// Number of upkeep intervals between two log lines with the load: one line every two seconds.
 const LOAD_LOG_TURNS: u32 = 20;
 /// Interval between two reads of the rows of all hosts. New hosts send join requests by themselves; the read
 /// finds hosts whose join requests were lost.
 const HOST_READ_INTERVAL: Duration = Duration::from_secs(5);
-/// Maximum of this interval, which grows with the fleet since each read returns a row of every host.
+/// Maximum of [`HOST_READ_INTERVAL`], which grows with the fleet since each read returns a row of every host.
 const MAX_HOST_READ_INTERVAL: Duration = Duration::from_secs(30);
 /// Delay after a failed read of the hosts' rows.
 const HOST_READ_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Share of the grace period after which callers' connections are closed as soon as they are idle. By then
-/// callers no longer choose this host: they cache steering answers for two seconds, some of them for three
-/// times as long. Callers on open connections receive `connection: close` with each response of the drain.
+/// callers no longer choose this host: they cache steering responses for two seconds, some of them for
+/// three times as long. Callers on open connections receive `connection: close` with each response of the
+/// drain.
 const CLOSE_IDLE_GRACE_SHARE: f64 = 0.55;
 /// Part of the grace period reserved for the last responses and heartbeats.
 const DRAIN_MARGIN: Duration = Duration::from_millis(700);
@@ -220,8 +221,9 @@
 
     /// Drains the host and stops the gateway.
     ///
-    /// Steering answers stop naming the host at once. Callers on open connections are still served. Held jobs
-    /// are handed over with their progress, and requests in flight are completed within the grace period.
+    /// Steering responses stop naming the host at once. Callers on open connections are still served. Held
+    /// jobs are handed over with their progress, and requests in flight are completed within the grace
+    /// period.
     pub async fn shut_down(self) {
         let state = &self.state;
         let started_at = Instant::now();
--- a/crates/cuminramp-gateway/src/interfaces.rs
+++ b/crates/cuminramp-gateway/src/interfaces.rs
@@ -36,7 +36,7 @@
 /// Contents of the head of a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallHead {
-    /// Request id that the caller gave to this attempt.
+    /// Request ID that the caller chose for this call.
     pub request_id: Option<Name>,
     /// Time that the caller waits for the response, from now.
     pub deadline: Option<Duration>,
@@ -113,7 +113,7 @@
     pub deadline: Option<Duration>,
     /// Team of the request, if it has one.
     pub team: Option<&'a str>,
-    /// Id of the target that the request is meant for.
+    /// ID of the target that the request is meant for.
     pub target: &'a str,
     /// Number of the last event already received, if the target is to resume a stream.
     pub last_event: Option<u64>,
@@ -122,7 +122,7 @@
 /// Contents of the head of a target's response.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ResponseHead {
-    /// Id of the request that the response belongs to.
+    /// ID of the request that the response belongs to.
     pub request_id: Option<Name>,
     /// Whether the response carries the signature of a target.
     pub is_signed: bool,
--- a/crates/cuminramp-gateway/src/lib.rs
+++ b/crates/cuminramp-gateway/src/lib.rs
@@ -8,8 +8,8 @@
 //! - `jobs` accepts jobs, runs their items, lists results and takes over jobs of lost hosts;
 //! - `slots` requests slots from the owners of slot groups, and grants those of groups that this host owns;
 //! - `targets` pools connections to targets and sends requests over them;
-//! - `sync` follows declarations, targets and hosts in the store;
-//! - `peers` exchanges datagrams with other hosts, and calls them for data that the store does not return.
+//! - `sync` follows declarations, targets and hosts in the store, and relays store calls through other hosts;
+//! - `peers` exchanges datagrams with other hosts, and carries calls between hosts that need a reply.
 //!
 //! Implementations of [`CallFormat`] and [`FleetFormat`] define the formats of callers' calls, of requests to
 //! targets and of rows in the store.
--- a/crates/cuminramp-gateway/src/metrics.rs
+++ b/crates/cuminramp-gateway/src/metrics.rs
@@ -7,7 +7,8 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// Bucket bounds of duration histograms, in seconds; closest around the usual objective of 0.3 s.
+/// Bucket bounds of duration histograms, in seconds. One of them is the usual objective of 0.3 s, so that the
+/// histogram shows how many requests met it.
 const DURATION_BUCKETS_S: [f64; 12] =
     [0.005, 0.01, 0.025, 0.05, 0.075, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0];
 
--- a/crates/cuminramp-gateway/src/peers/calls.rs
+++ b/crates/cuminramp-gateway/src/peers/calls.rs
@@ -18,7 +18,8 @@
 use crate::state::{GatewayState, lock};
 use crate::sync::{answer_store_call, answer_updates};
 
-/// Maximum size of a message. Declarations of thousands of routes have a few megabytes, an object eight.
+/// Maximum size of a message in bytes. Declarations of thousands of routes have a few megabytes, an object up
+/// to eight.
 const MAX_FRAME_BYTES: usize = 32 << 20;
 /// Timeout of a request for updates.
 const UPDATES_TIMEOUT: Duration = Duration::from_millis(700);
--- a/crates/cuminramp-gateway/src/peers/pauses.rs
+++ b/crates/cuminramp-gateway/src/peers/pauses.rs
@@ -10,8 +10,8 @@
 
 /// Interval between two clock checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Minimum lateness of a clock check that counts as a pause of the host. Heartbeats come every 100 ms, so a
-/// shorter one is ordinary.
+/// Minimum delay of a clock check that counts as a pause of the host. Heartbeats are sent every 100 ms, so a
+/// shorter delay is ordinary.
 const MIN_PAUSE: Duration = Duration::from_millis(400);
 
 /// Returns the time since boot, including time in which the host was suspended.
--- a/crates/cuminramp-gateway/src/peers/socket.rs
+++ b/crates/cuminramp-gateway/src/peers/socket.rs
@@ -13,7 +13,7 @@
 };
 use crate::state::GatewayState;
 
-/// Size of the receive buffer. A longer datagram is truncated and rejected as unreadable.
+/// Size of the receive buffer in bytes. A longer datagram is truncated and rejected as unreadable.
 const MAX_DATAGRAM_BYTES: usize = 60 << 10;
 
 /// Sends and receives datagrams.
--- a/crates/cuminramp-gateway/src/state.rs
+++ b/crates/cuminramp-gateway/src/state.rs
@@ -102,16 +102,16 @@
         lock(&self.declarations).current().cloned()
     }
 
-    /// Whether the host is ready for callers: it has declarations and does not drain.
+    /// Returns whether the host is ready for callers: it has declarations and does not drain.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_draining() && lock(&self.declarations).current().is_some()
     }
 
-    /// Whether this host is cut off from most hosts and from the store, so that another host probably can do
-    /// what this one can't.
+    /// Returns whether this host is cut off from most hosts and from the store, so that another host probably
+    /// can do what this one can't.
     ///
-    /// While heartbeats from most hosts arrive, this returns `false` even if the store does not answer: if it
-    /// answers none of these hosts, waiting is better than sending the caller to another one.
+    /// While at least half of the hosts are alive, this returns `false` even if the store does not answer: if
+    /// the store answers none of these hosts, waiting is better than sending the caller to another one.
     pub(crate) async fn is_cut_off(&self) -> bool {
         if lock(&self.peers).has_at_least_half(Instant::now()) {
             return false;
@@ -120,7 +120,7 @@
             || !self.relayed_store.check_within(STORE_CHECK_TIMEOUT).await
     }
 
-    /// Whether the host drains before it leaves.
+    /// Returns whether the host drains before it leaves.
     pub(crate) fn is_draining(&self) -> bool {
         self.is_draining.load(Ordering::Relaxed)
     }
