--- a/crates/cuminramp-gateway/src/slots/mod.rs
+++ b/crates/cuminramp-gateway/src/slots/mod.rs
@@ -1,4 +1,7 @@
 //! Slots of targets: slot requests and reports to owners of slot groups, and the groups that this host owns.
+//!
+//! A slot group is the targets of one pool in one availability zone. One host, the owner of the group, grants
+//! the slots of these targets to all hosts.
 
 mod cold;
 mod owner;
--- a/crates/cuminramp-gateway/src/sync/relay.rs
+++ b/crates/cuminramp-gateway/src/sync/relay.rs
@@ -262,6 +262,7 @@
                 return WatchResponse::HistoryLost;
             }
             let version = reply.version;
+            // In the reply to a watch, a deleted row is sent with its key and marked as absent.
             let changes = reply.rows.into_iter().filter_map(|row| {
                 Some(RowChange { row: unpack(row.row?), is_deleted: row.is_absent })
             });
