--- a/crates/cuminramp-quota/src/baseline.rs
+++ b/crates/cuminramp-quota/src/baseline.rs
@@ -7,8 +7,9 @@
 
 /// Quota policy that gives each host an equal, fixed part of every team's limit, without lending.
 ///
-/// It never exceeds a limit while the number of hosts is right. A team whose callers all connect to
-/// one host is refused as soon as they use up that host's part.
+/// A host computes its part at the team's first request and keeps it if the limit or the number of
+/// hosts changes later. Without such changes the limit is never exceeded. A team whose callers all
+/// connect to one host is refused as soon as they use up that host's part.
 #[derive(Debug, Default)]
 pub struct StaticSplit {
     teams: SortedMap<Name, TokenBucket>,
@@ -20,7 +21,8 @@
         Self::default()
     }
 
-    /// Admits or refuses a request that costs `cost`, where `hosts` hosts share the limit.
+    /// Admits or refuses a request that costs `cost`. `limits` and the number of hosts that share
+    /// them, `hosts`, are applied at the team's first request only.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
--- a/crates/cuminramp-quota/src/bucket.rs
+++ b/crates/cuminramp-quota/src/bucket.rs
@@ -21,7 +21,7 @@
 /// A lent token is debited here at once but may be spent by the borrower until the loan expires. If
 /// the bucket refilled in the meantime, the lent token and its replacement could be spent at the
 /// same instant, and the targets would see more requests in one second than burst and rate allow.
-/// Hence the level plus all unexpired loans never exceeds the burst.
+/// Hence tokens accrue only while the level plus all unexpired loans is below the burst.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate: Millitokens,
@@ -63,7 +63,7 @@
         TokenBucket { level: burst, ..TokenBucket::empty(rate, burst, now) }
     }
 
-    /// Sets rate and burst. Tokens above the new burst are discarded.
+    /// Sets rate and burst. Tokens above the new burst less the tokens on loan are discarded.
     pub fn set_limits(&mut self, rate: Millitokens, burst: Millitokens, now: Instant) {
         self.advance(now);
         self.rate = rate;
--- a/crates/cuminramp-quota/src/handover.rs
+++ b/crates/cuminramp-quota/src/handover.rs
@@ -8,7 +8,7 @@
 use cuminramp_wire::{decode_row, encode_row};
 use tokio::time::Instant;
 
-use crate::ledger::slice_number;
+use crate::ledger::slice_index;
 use crate::{HandoverState, QuotaLedger, ShardMove, TeamLimits};
 
 impl QuotaLedger {
@@ -37,7 +37,7 @@
         let policy = self.policy().clone();
         let mut buckets = Vec::new();
         for (team, quota) in self.teams.iter_mut() {
-            let index = slice_number(team, shard_move.shard, &policy);
+            let index = slice_index(team, shard_move.shard, &policy);
             let Some(slice) = quota.buckets.get_mut(&index) else { continue };
             if slice.epoch == record.epoch {
                 let level = slice.bucket.level(now);
@@ -81,11 +81,12 @@
     }
 
     /// Drops the buckets of a shard that were created before the handover arrived and have not been
-    /// used. The tokens that they accrued since then are fewer than those handed over.
+    /// used. They are created again from the state handed over, which replaces the fewer tokens
+    /// that they accrued in the meantime.
     fn discard_unused_buckets(&mut self, shard: u32) {
         let policy = self.policy().clone();
         for (team, quota) in self.teams.iter_mut() {
-            let index = slice_number(team, shard, &policy);
+            let index = slice_index(team, shard, &policy);
             if quota.buckets.get(&index).is_some_and(|slice| !slice.used) {
                 quota.buckets.remove(&index);
             }
@@ -104,11 +105,11 @@
     ) {
         self.prepare(team, limits, now);
         let policy = self.policy().clone();
-        let index = slice_number(team, shard, &policy);
+        let index = slice_index(team, shard, &policy);
         let Some(quota) = self.teams.get_mut(team) else { return };
         let Some(slice) = quota.buckets.get_mut(&index) else { return };
         // Tokens already spent from this bucket did not come from the earlier owner's bucket.
-        // Adding the tokens of that one as well could exceed what one bucket would have held.
+        // Adding the earlier owner's tokens too could exceed what a single bucket would have held.
         if slice.used {
             return;
         }
--- a/crates/cuminramp-quota/src/handover/tests.rs
+++ b/crates/cuminramp-quota/src/handover/tests.rs
@@ -59,30 +59,30 @@
     let before = admitted(&mut previous, 5, now);
 
     let handover = previous.collect_handover(&next_owner(), now).unwrap();
-    let taken = next.accept_handover(&handover, limits_of, now);
+    let applied = next.accept_handover(&handover, limits_of, now);
     let after = admitted(&mut next, 20, now);
 
-    assert!(taken);
+    assert!(applied);
     assert_eq!((before, after), (5, 7));
 }
 
-// The network repeats or delays the message. If it were applied twice, the team would get its burst
-// twice.
+// The network repeats or delays the handover. If it were applied twice, the team would get its
+// burst twice.
 #[test]
 fn a_repeated_handover_changes_nothing() {
     let now = Instant::now();
     let (mut previous, mut next) = ledgers(now);
     let handover = previous.collect_handover(&next_owner(), now).unwrap();
 
-    let taken = next.accept_handover(&handover, limits_of, now);
+    let applied = next.accept_handover(&handover, limits_of, now);
     let first = admitted(&mut next, 20, now);
     let again = next.accept_handover(&handover, limits_of, now);
     let second = admitted(&mut next, 20, now);
 
-    assert_eq!((taken, first, again, second), (true, 12, false, 0));
+    assert_eq!((applied, first, again, second), (true, 12, false, 0));
 }
 
-// The message is lost while tokens that the earlier owner lent are still being spent.
+// The handover is lost while tokens that the earlier owner lent are still being spent.
 #[test]
 fn without_a_handover_the_next_owner_starts_empty_once_loans_have_ended() {
     let now = Instant::now();
@@ -98,7 +98,7 @@
     assert_eq!((while_lent, after), (0, 5));
 }
 
-// A host lends tokens and moves its shard to another host. The message is lost, and the next owner
+// A host lends tokens and moves its shard to another host. The handover is lost, and the next owner
 // moves the shard back at once. If the next owner handed over its empty bucket without those loans,
 // the first owner would refill it while they are still being spent. The model checker found this
 // trace.
@@ -116,8 +116,9 @@
     assert_eq!(handover, None);
 }
 
-// The message arrives late, after the next owner has spent what accrued in the meantime. Both
-// together are more than one bucket would have held. The model checker found this trace.
+// The handover arrives late, after the next owner has spent tokens that accrued in the meantime.
+// They and the tokens handed over are more than one bucket would have held. The model checker found
+// this trace.
 #[test]
 fn a_late_handover_adds_nothing_to_a_bucket_in_use() {
     let now = Instant::now();
--- a/crates/cuminramp-quota/src/ledger.rs
+++ b/crates/cuminramp-quota/src/ledger.rs
@@ -10,7 +10,8 @@
 
 /// Minimum time for which lent tokens may be spent.
 pub(crate) const MIN_LOAN_VALIDITY: Duration = Duration::from_millis(20);
-/// Loans at the full rate may occupy at most one part in this many of a slice's burst.
+/// Divisor of a slice's burst that gives the maximum amount on loan while all tokens are lent at
+/// the full rate.
 const LOAN_BURST_DIVISOR: u64 = 4;
 /// Minimum retry delay returned to a caller.
 pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(10);
@@ -36,8 +37,9 @@
     pub borrow_attempts: usize,
     /// Time within which a configuration generation is in force on every host.
     pub max_generation_lag: Duration,
-    /// Maximum time for which this host may not have run, or not have received anything from
-    /// others, before it stops relying on its ownership of shards.
+    /// Maximum time between two ticks. After a longer time, the process counts as paused and this
+    /// host stops relying on its ownership of shards, as it does while it is out of contact. The
+    /// unreliable period counts from this long before the previous tick.
     pub max_pause: Duration,
     /// Minimum time for which an incarnation must have been silent before other hosts claim its
     /// shards.
@@ -299,11 +301,11 @@
         if !use_own || !self.shards.is_mine(request.shard) {
             return refusal;
         }
-        let slice = slice_number(&request.team, request.shard, &self.policy);
+        let index = slice_index(&request.team, request.shard, &self.policy);
         let Some(quota) = self.teams.get_mut(&request.team) else {
             return refusal;
         };
-        let Some(slice) = quota.buckets.get_mut(&slice) else {
+        let Some(slice) = quota.buckets.get_mut(&index) else {
             return refusal;
         };
         let amount = slice.bucket.lend(request.amount, validity, now);
@@ -378,8 +380,9 @@
         .clamp(MIN_LOAN_VALIDITY, policy.max_loan_validity.max(MIN_LOAN_VALIDITY))
 }
 
-/// Returns the index of the slice of a team that a shard holds.
-pub(crate) fn slice_number(team: &str, shard: u32, policy: &LedgerPolicy) -> u32 {
+/// Returns the index of the slice of a team that a shard holds. If the shard holds none of the
+/// team's slices, the index is not below their number.
+pub(crate) fn slice_index(team: &str, shard: u32, policy: &LedgerPolicy) -> u32 {
     let first = slice_shards(team, 1, policy.shards).next().unwrap_or(0);
     (shard + policy.shards - first) % policy.shards
 }
--- a/crates/cuminramp-quota/src/ledger/tests.rs
+++ b/crates/cuminramp-quota/src/ledger/tests.rs
@@ -59,8 +59,8 @@
 }
 
 // All callers of a team connect to one host. If it refused them for tokens that other hosts hold,
-// the team would get only a third of its limit. Responses to what is borrowed in advance never
-// arrive here.
+// the team would get only a third of its limit. The test ignores the plans of admitted requests to
+// borrow in advance.
 #[test]
 fn one_host_can_spend_the_whole_burst() {
     let now = Instant::now();
@@ -105,8 +105,8 @@
     assert_eq!((before_tick, outcome, after_renewal), (false, TickOutcome::Lost, false));
 }
 
-// After a short pause, or a short time without receiving anything from other hosts, nobody can have
-// claimed the host's shards yet, so it need not give them up.
+// After a short pause, or a short time without contact, no other host can have claimed the host's
+// shards yet, so it need not give them up.
 #[test_case(Duration::from_secs(3), true; "paused")]
 #[test_case(Duration::from_millis(200), false; "cut off")]
 fn a_short_unreliable_period_ends(gap: Duration, confirmed: bool) {
--- a/crates/cuminramp-quota/src/limits/tests.rs
+++ b/crates/cuminramp-quota/src/limits/tests.rs
@@ -10,7 +10,7 @@
 
 proptest! {
     // An operator changes a team's rate, and hosts apply the change at different moments. Slices
-    // divided the old way on one host and the new way on another must not add up to more than the
+    // of the old limit on one host and of the new one on another must not add up to more than the
     // old limit during the change, nor to more than the new one after it.
     #[test]
     fn hosts_of_two_generations_stay_under_the_larger_limit(
--- a/crates/cuminramp-quota/src/team.rs
+++ b/crates/cuminramp-quota/src/team.rs
@@ -1,4 +1,4 @@
-//! The quota of one team on one host: its buckets, borrowed tokens and what is known of other
+//! The quota of one team on one host: its buckets, borrowed tokens and the last responses of other
 //! owners.
 
 use std::cmp::Reverse;
@@ -44,7 +44,8 @@
     lender_levels: SortedMap<u32, LenderLevel>,
     /// Average demand on this host, in millitokens per second.
     demand: f64,
-    demand_at: Instant,
+    /// Time at which `demand` was last updated.
+    demand_updated_at: Instant,
     /// Time before which no more tokens are borrowed in advance.
     next_prefetch_at: Instant,
     pub(crate) last_used_at: Instant,
@@ -83,7 +84,7 @@
             exhausted_until: SortedMap::new(),
             lender_levels: SortedMap::new(),
             demand: 0.0,
-            demand_at: now,
+            demand_updated_at: now,
             next_prefetch_at: now,
             last_used_at: now,
         }
@@ -92,9 +93,9 @@
     /// Creates or updates the bucket for a slice of a shard that this incarnation owns.
     ///
     /// Without a handover, the tokens that the earlier owner left are unknown; it may just have
-    /// spent and lent all of them. So the bucket starts empty, and starts filling only once its
-    /// loans have expired. Only the shard's first owner starts with a full bucket, or an owner to
-    /// which it handed over a bucket that was never used.
+    /// spent and lent all of them. So the bucket starts empty, and starts filling only once the
+    /// earlier owner's loans have expired. A bucket starts full only for the shard's first owner,
+    /// or if a handover shows that no owner has used it since the first.
     pub(crate) fn ensure_bucket(
         &mut self,
         index: u32,
@@ -151,8 +152,8 @@
 
     /// Adds the cost of a request to the average demand.
     pub(crate) fn record_demand(&mut self, cost: Millitokens, now: Instant) {
-        let elapsed = now.saturating_duration_since(self.demand_at).as_secs_f64();
-        self.demand_at = now;
+        let elapsed = now.saturating_duration_since(self.demand_updated_at).as_secs_f64();
+        self.demand_updated_at = now;
         let decay = (-elapsed / DEMAND_WINDOW.as_secs_f64()).exp();
         self.demand = self.demand * decay + cost as f64 / DEMAND_WINDOW.as_secs_f64();
     }
