--- a/crates/cuminramp-quota/src/shards.rs
+++ b/crates/cuminramp-quota/src/shards.rs
@@ -178,32 +178,33 @@
     /// far as this map shows, not moved. Claiming the latter again, under the next epoch, makes
     /// the pending write that would move them fail.
     ///
-    /// `hosts` are the live hosts that are not leaving, including this one. `is_confirmed_dead` must
-    /// return `false` in case of any doubt: a mere suspicion must never change ownership, since a
-    /// live owner would go on spending.
+    /// `hosts` are the live hosts that are not leaving, including this one. `is_confirmed_dead`
+    /// must return `false` unless the owner has certainly ended: a mere suspicion must never change
+    /// ownership, since a live owner would go on spending.
     pub fn plan_claims(
         &self,
         hosts: &[Host],
         is_confirmed_dead: impl Fn(&HostId) -> bool,
     ) -> Vec<ShardMove> {
         let zones = zones_of(hosts);
-        let unowned = self.enumerate_records().filter(|(_, record)| match &record.owner {
+        let claimable = self.enumerate_records().filter(|(_, record)| match &record.owner {
             None => true,
             Some(owner) => *owner != self.me && is_confirmed_dead(owner),
         });
-        let desired = unowned.filter(|(shard, _)| {
+        let desired = claimable.filter(|(shard, _)| {
             desired_owner(*shard, hosts, &zones).is_some_and(|host| host.id == self.me)
         });
         let released = self
             .enumerate_records()
             .filter(|(_, record)| record.released && record.owner.as_ref() == Some(&self.me));
-        let own = desired.chain(released);
-        own.map(|(shard, record)| ShardMove {
-            shard,
-            from_epoch: record.epoch,
-            owner: self.me.clone(),
-        })
-        .collect()
+        let claims = desired.chain(released);
+        claims
+            .map(|(shard, record)| ShardMove {
+                shard,
+                from_epoch: record.epoch,
+                owner: self.me.clone(),
+            })
+            .collect()
     }
 
     /// Releases up to `max_moves` own shards whose desired owner is another host, and returns the
--- a/crates/cuminramp-quota/src/shards/tests.rs
+++ b/crates/cuminramp-quota/src/shards/tests.rs
@@ -54,7 +54,7 @@
     assert!((1..SHARDS).all(|shard| zone(shard) != zone(shard - 1)));
 }
 
-// A host is suspected because a link is cut, yet it goes on serving. If suspicion moved its shards,
+// A host is suspect because a link is cut, yet it goes on serving. If suspicion moved its shards,
 // two hosts would spend the same tokens and teams would get more than their rate.
 #[test]
 fn a_suspect_keeps_its_shards() {
