--- a/crates/cuminramp-targets/src/choice.rs
+++ b/crates/cuminramp-targets/src/choice.rs
@@ -14,7 +14,8 @@
 const MAX_PREFIX_WAIT_RATIO: f64 = 1.25;
 /// Share of its slots that a new or reinstated target may use at first.
 const SLOW_START_SHARE: f64 = 0.1;
-/// Time after which a new or reinstated target may use all of its slots.
+/// Time in which the share of slots that a new or reinstated target may use grows by 1. As the share starts
+/// at [`SLOW_START_SHARE`], the target may use all of its slots a little earlier.
 const SLOW_START_WINDOW: Duration = Duration::from_secs(10);
 /// Maximum number of times that the duration of an ejection doubles: to 8 times the first.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
@@ -83,7 +84,7 @@
     Failed,
     /// The target sent nothing before the timeout. It is ejected at once.
     Silent,
-    /// This host cancelled the attempt, which shows nothing about the target.
+    /// This host ended the attempt, as at the request's deadline, which shows nothing about the target.
     Abandoned,
 }
 
@@ -92,7 +93,8 @@
 pub struct ChoiceQuery<'a> {
     /// Hash of the start of the prompt, if the targets cache prefixes.
     pub prefix: Option<u64>,
-    /// Targets on which this request already failed.
+    /// Targets to avoid: those of earlier attempts and those that the caller excludes. They are chosen
+    /// only if no other target is eligible.
     pub tried: &'a [Name],
 }
 
@@ -197,14 +199,14 @@
         self.ejected_until.is_some_and(|until| until > now)
     }
 
-    /// Whether the target has been ejected and has not answered since. It then gets one request at a
+    /// Returns whether the target has been ejected and has not answered since. It then gets one request at a
     /// time, and a single failure ejects it again.
     fn is_on_probation(&self) -> bool {
         self.ejected_until.is_some()
     }
 }
 
-/// Load, latency and ejection state of all targets, as seen by this host.
+/// Load, latency and ejection state of all targets, as recorded on this host.
 #[derive(Debug)]
 pub struct TargetTable {
     policy: TargetPolicy,
@@ -255,7 +257,7 @@
         Some(self.records.get(target)?.report?.0)
     }
 
-    /// Whether a target is ejected.
+    /// Returns whether a target is ejected.
     pub fn is_ejected(&self, target: &str, now: Instant) -> bool {
         self.records.get(target).is_some_and(|record| record.is_ejected(now))
     }
@@ -341,7 +343,7 @@
         }
     }
 
-    /// Whether any target can run requests at all, that is, is not leaving.
+    /// Returns whether any target can run requests at all, that is, is not leaving.
     pub fn has_targets(&self, specs: &[TargetSpec]) -> bool {
         specs.iter().any(|spec| !spec.is_draining)
     }
--- a/crates/cuminramp-targets/src/crashes.rs
+++ b/crates/cuminramp-targets/src/crashes.rs
@@ -11,21 +11,27 @@
 /// Crashes of the requests with one fingerprint.
 #[derive(Clone, Debug)]
 struct CrashRecord {
-    /// Crash count: the highest that any host reported, plus the crashes that this host saw since.
+    /// Crash count: the highest that any host reported, plus those observed here since.
     crashes: u32,
-    /// Time of the last crash that this host saw or received a report of.
-    last: Instant,
-    /// Attempts that run on this host.
+    /// Time of the last crash that this host observed or received a report of.
+    last_crash_at: Instant,
+    /// Running attempts of this host that began after the record was created.
     running: u32,
     /// Target of the last attempt. Meaningful only while `running` is not 0.
     target: Option<Name>,
-    /// Time of the last crash that this host saw itself; `None` if only other hosts saw one.
-    seen_here: Option<Instant>,
+    /// Time of the last crash that this host observed itself; `None` if only other hosts observed one.
+    observed_here_at: Option<Instant>,
 }
 
 impl CrashRecord {
     fn new(now: Instant) -> Self {
-        CrashRecord { crashes: 0, last: now, running: 0, target: None, seen_here: None }
+        CrashRecord {
+            crashes: 0,
+            last_crash_at: now,
+            running: 0,
+            target: None,
+            observed_here_at: None,
+        }
     }
 }
 
@@ -60,13 +66,13 @@
     }
 
     /// Starts an attempt, if it is allowed, and returns whether it is. A request with a recorded crash
-    /// must wait while another attempt runs: two at once could crash two more targets.
+    /// is not allowed while another attempt of it runs: two at once could crash two more targets.
     pub fn begin(&mut self, fingerprint: u64, now: Instant) -> bool {
         let (limit, quarantine) = (self.limit, self.quarantine);
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return true;
         };
-        if now.saturating_duration_since(record.last) > quarantine {
+        if now.saturating_duration_since(record.last_crash_at) > quarantine {
             self.records.remove(&fingerprint);
             return true;
         }
@@ -91,13 +97,14 @@
         if self.records.len() >= MAX_RECORDS {
             let quarantine = self.quarantine;
             self.records.retain(|_, record| {
-                now.saturating_duration_since(record.last) <= quarantine && record.crashes > 1
+                now.saturating_duration_since(record.last_crash_at) <= quarantine
+                    && record.crashes > 1
             });
         }
         let record = self.records.get_or_insert_with(fingerprint, || CrashRecord::new(now));
         record.crashes += 1;
-        record.last = now;
-        record.seen_here = Some(now);
+        record.last_crash_at = now;
+        record.observed_here_at = Some(now);
         record.crashes
     }
 
@@ -115,7 +122,7 @@
         }
     }
 
-    /// Returns the targets on which requests with recorded crashes run. Another request with a crash must
+    /// Returns the targets on which requests with recorded crashes run. Another request with a crash should
     /// avoid them: if the target crashed, the harmless one of the two would be counted again too.
     pub fn poison_targets(&self) -> Vec<Name> {
         let running = self.records.values().filter(|record| record.running > 0);
@@ -132,18 +139,19 @@
     /// one broken connection would stop all of them.
     pub fn quarantine_left(&self, fingerprint: u64, now: Instant) -> Option<Duration> {
         let record = self.records.get(&fingerprint)?;
-        let left = self.quarantine.checked_sub(now.saturating_duration_since(record.last))?;
+        let left =
+            self.quarantine.checked_sub(now.saturating_duration_since(record.last_crash_at))?;
         (record.crashes >= self.limit).then_some(left)
     }
 
-    /// Whether no crash is recorded.
+    /// Returns whether no crash is recorded.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Returns the fingerprints of crashes that this host saw in the last `within`, with their crash
-    /// counts, to be reported to other hosts. Crashes that only others saw are left out; otherwise hosts
-    /// would report them to each other for ever. Returns at most `max_records`, the highest counts
+    /// Returns the fingerprints of crashes that this host observed in the last `within`, with their crash
+    /// counts, to be reported to other hosts. Crashes that only others observed are left out; otherwise
+    /// hosts would report them to each other forever. Returns at most `max_records`, the highest counts
     /// first.
     pub fn recent_local_crashes(
         &self,
@@ -152,21 +160,21 @@
         now: Instant,
     ) -> Vec<(u64, u32)> {
         let is_recent = |record: &CrashRecord| {
-            record.seen_here.is_some_and(|at| now.duration_since(at) < within)
+            record.observed_here_at.is_some_and(|at| now.duration_since(at) < within)
         };
         let recent = self.records.iter().filter(|(_, record)| is_recent(record));
-        let mut seen: Vec<(u64, u32)> =
+        let mut counts: Vec<(u64, u32)> =
             recent.map(|(fingerprint, record)| (*fingerprint, record.crashes)).collect();
-        seen.sort_by_key(|(_, crashes)| std::cmp::Reverse(*crashes));
-        seen.truncate(max_records);
-        seen
+        counts.sort_by_key(|(_, crashes)| std::cmp::Reverse(*crashes));
+        counts.truncate(max_records);
+        counts
     }
 
     /// Merges the crash count that another host reported: the higher count wins.
     pub fn merge(&mut self, fingerprint: u64, crashes: u32, now: Instant) {
         let record = self.records.get_or_insert_with(fingerprint, || CrashRecord::new(now));
         record.crashes = record.crashes.max(crashes);
-        record.last = now;
+        record.last_crash_at = now;
     }
 }
 
--- a/crates/cuminramp-targets/src/crashes/tests.rs
+++ b/crates/cuminramp-targets/src/crashes/tests.rs
@@ -42,10 +42,10 @@
     assert!(table.quarantine_left(7, Instant::now()).is_none());
 }
 
-/// A caller sends each retry to another host. Three hosts that each counted only the crashes they saw
-/// themselves would let the request crash nine targets.
+/// A caller sends each retry to another host. Three hosts that each counted only the crashes they
+/// observed themselves would let the request crash nine targets.
 #[tokio::test(start_paused = true)]
-async fn crashes_seen_by_others_count_and_are_not_reported_again() {
+async fn crashes_observed_by_others_count_and_are_not_reported_again() {
     let (mut here, mut there) = (table(), table());
     here.on_crash(7, Instant::now());
     here.on_crash(7, Instant::now());
--- a/crates/cuminramp-targets/src/fair_queue.rs
+++ b/crates/cuminramp-targets/src/fair_queue.rs
@@ -7,6 +7,7 @@
 /// Deficit that one unit of weight adds in one turn.
 const QUANTUM: u64 = 1;
 
+/// Waiting items of one team.
 #[derive(Debug)]
 struct TeamQueue<T> {
     weight: u64,
@@ -103,7 +104,7 @@
         self.length
     }
 
-    /// Whether no item waits.
+    /// Returns whether no item waits.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
--- a/crates/cuminramp-targets/src/packing.rs
+++ b/crates/cuminramp-targets/src/packing.rs
@@ -23,7 +23,7 @@
 /// as the load requires when each fills a share of slots that hardly slows it.
 #[derive(Clone, Debug)]
 pub struct OnlinePacking {
-    /// Number of targets in use.
+    /// Number of targets in use; `usize::MAX` before the first choice.
     targets: usize,
     /// Time at which the number last changed or was last confirmed by the load.
     confirmed_at: Instant,
--- a/crates/cuminramp-targets/src/retry.rs
+++ b/crates/cuminramp-targets/src/retry.rs
@@ -16,9 +16,9 @@
     Sent,
     /// The target answered with an error after it ran the request.
     Failed,
-    /// Part of the answer arrived. For a stream, `events` were passed on to the caller.
+    /// Part of the answer arrived. Of a stream, `events` tokens were forwarded to the caller.
     Partial {
-        /// Number of events that the caller has received.
+        /// Number of events with a token that were forwarded to the caller.
         events: usize,
     },
 }
@@ -28,7 +28,7 @@
 pub struct AttemptFailure {
     /// Stage that the attempt had reached.
     pub stage: FailureStage,
-    /// Whether the connection was lost or refused, as happens when a target crashes.
+    /// Whether the connection failed after the request may have been sent, as when a target crashes.
     pub is_crash: bool,
 }
 
@@ -55,7 +55,7 @@
     Resend,
     /// Ask another target to resume the stream after `events`.
     Resume {
-        /// Number of events that the caller has received.
+        /// Number of events with a token that were forwarded to the caller.
         events: usize,
     },
     /// Stop and return an error to the caller.
--- a/crates/cuminramp-targets/src/retry/tests.rs
+++ b/crates/cuminramp-targets/src/retry/tests.rs
@@ -43,7 +43,7 @@
     }
 }
 
-// A stream fails after some events were passed on. If it restarted from the beginning, the caller would
+// A stream fails after some events were forwarded. If it restarted from the beginning, the caller would
 // receive those events twice.
 #[test_case(true, RetryDecision::Resume { events: 5 }; "resumable")]
 #[test_case(false, RetryDecision::GiveUp { code: ResultCode::StreamBroken, execution: Execution::Ran }; "not resumable")]
--- a/crates/cuminramp-targets/src/window.rs
+++ b/crates/cuminramp-targets/src/window.rs
@@ -83,7 +83,7 @@
         if own_online > 0 {
             self.on_online(now);
         }
-        if self.is_yielding(now) {
+        if self.is_in_cooldown(now) {
             return 0;
         }
         let max_size = (f64::from(self.slots) * self.policy.share) as u32;
@@ -98,14 +98,14 @@
         self.size
     }
 
-    fn is_yielding(&self, now: Instant) -> bool {
+    fn is_in_cooldown(&self, now: Instant) -> bool {
         let is_recent =
             |at: Instant| now.saturating_duration_since(at) < self.policy.online_cooldown;
         self.online_at.is_some_and(is_recent)
     }
 
     /// Returns the size that the report allows: the slots that no other host uses. Without a report it is
-    /// half of the maximum, as other hosts' load is unknown; an overdue report reduces it.
+    /// half of the maximum, as other hosts' load is unknown; a report older than `max_report_age` reduces it.
     fn allowed_size(
         &self,
         report: Option<LoadSnapshot>,
