--- a/crates/cuminramp-membership/src/member.rs
+++ b/crates/cuminramp-membership/src/member.rs
@@ -4,7 +4,7 @@
 use cuminramp_wire::peer::{HostState, Status};
 use tokio::time::Instant;
 
-/// Status of a host, as far as other hosts can tell.
+/// Status of a host, as recorded by other hosts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MemberStatus {
     /// The host answers probes.
@@ -53,7 +53,7 @@
 /// A host and its status, as recorded by another host.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The host's run, addresses and zone.
+    /// The host's incarnation, addresses and zone.
     pub host: Host,
     /// Current status.
     pub status: MemberStatus,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Whether the host accepts new work.
+    /// Returns whether the host accepts new work.
     pub fn is_usable(&self) -> bool {
         self.status == MemberStatus::Alive && !self.listed_leaving
     }
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Whether `other` is newer: it has a later incarnation, or a higher sequence number of the same
-    /// incarnation, or a status of higher rank with the same sequence number.
+    /// Returns whether `other` is newer: it has a later incarnation, or a higher sequence number of the
+    /// same incarnation, or a status of higher rank with the same sequence number.
     pub(crate) fn is_older_than(&self, other: &Member) -> bool {
         let order =
             |member: &Member| (member.host.id.incarnation, member.sequence, member.status.rank());
--- a/crates/cuminramp-membership/src/steering.rs
+++ b/crates/cuminramp-membership/src/steering.rs
@@ -25,10 +25,10 @@
 impl SteeringPlanner {
     /// Returns the hosts for a caller of `team` in `zone`, best first.
     ///
-    /// Usable owners of the team's shards come first: they hold its tokens and, as they receive its
-    /// requests, know its prompt prefixes. The other usable hosts follow. In both groups, hosts in the
-    /// caller's zone come first, and then the rendezvous score of the team's name decides the order, so
-    /// that answers change little when a host is added or removed.
+    /// Usable owners of the team's shards come first: they hold its tokens, so its requests seldom wait for
+    /// tokens to be borrowed. The other usable hosts follow. In both groups, hosts in the caller's zone
+    /// come first, and then the rendezvous score of the team's name decides the order, so that answers
+    /// change little when a host is added or removed.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/cuminramp-membership/src/steering/tests.rs
+++ b/crates/cuminramp-membership/src/steering/tests.rs
@@ -16,8 +16,8 @@
     SteeringPlanner { max_hosts: 3, ttl: Duration::from_secs(30) }
 }
 
-// Many hosts are replaced each day. If each replacement moved most teams to other hosts, their caches
-// would stay cold.
+// Many hosts are replaced each day. If each replacement moved most teams to other hosts, the caches
+// that hosts hold for teams would stay cold.
 #[test]
 fn a_lost_host_moves_only_the_teams_that_used_it() {
     let all: Vec<Host> = (0..11).map(host).collect();
--- a/crates/cuminramp-membership/src/table.rs
+++ b/crates/cuminramp-membership/src/table.rs
@@ -69,7 +69,7 @@
     remaining: u32,
 }
 
-/// The hosts that this host knows of, with their status.
+/// Hosts from which or about which this host received state, with their status.
 #[derive(Debug)]
 pub struct MemberTable {
     policy: MemberPolicy,
@@ -137,21 +137,21 @@
         self.local.since = now;
     }
 
-    /// Changes this host's incarnation to a later one. Hosts that receive it treat the earlier run as
-    /// ended.
+    /// Changes this host's incarnation to a later one. Hosts that receive it treat the earlier
+    /// incarnation as ended.
     pub fn set_incarnation(&mut self, incarnation: Incarnation, now: Instant) {
         self.local.host.id.incarnation = incarnation;
         self.local.sequence += 1;
         self.local.since = now;
     }
 
-    /// Whether this host is leaving.
+    /// Returns whether this host is leaving.
     pub fn is_leaving(&self) -> bool {
         self.local.status == MemberStatus::Leaving
     }
 
-    /// Runs one step of the protocol: declares suspects dead and removes old entries when their timeouts
-    /// have passed, and returns the next host to probe.
+    /// Runs one step of the protocol: declares suspect hosts dead and removes old entries when their
+    /// timeouts have passed, and returns the next host to probe.
     pub fn tick(&mut self, random: &mut dyn RandomSource, now: Instant) -> Vec<MemberAction> {
         self.declare_suspects_dead(now);
         self.remove_dead_members(now);
@@ -210,11 +210,11 @@
         self.list_read_at = Some(now);
         self.listed = hosts.iter().map(|host| host.address.clone()).collect();
         self.listed.sort();
-        let leaves =
+        let is_leaving =
             |address: &str| hosts.iter().any(|host| host.leaving && *host.address == *address);
-        self.local.listed_leaving = leaves(&self.local.host.id.address);
+        self.local.listed_leaving = is_leaving(&self.local.host.id.address);
         for (address, member) in self.members.iter_mut() {
-            member.listed_leaving = leaves(address);
+            member.listed_leaving = is_leaving(address);
             member.unlisted_since = match self.listed.binary_search(address) {
                 Ok(_) => None,
                 Err(_) => member.unlisted_since.or(Some(now)),
@@ -275,7 +275,8 @@
         answering.map(|(address, _)| address.clone()).collect()
     }
 
-    /// Whether more than half of all known hosts answer, this host included.
+    /// Returns whether more than half of all known hosts answer, this host included. Known are the hosts
+    /// in the table and in the platform's list.
     ///
     /// The two sides of a network partition cannot both have a majority. A host needs one to take over
     /// shards, and it needs one to continue while the shared store is unreachable. As any two majorities
@@ -287,13 +288,13 @@
         answering * 2 > known
     }
 
-    /// Whether a run has certainly ended: a later run uses its address, or it has been dead and missing
-    /// from the platform's list for longer than the list's lag, and this host has a majority. A run that
-    /// is not in the table counts as ended if it is missing from a current list, this host has been
-    /// running for more than twice the lag, and it has a majority.
+    /// Returns whether an incarnation has certainly ended: a later incarnation uses its address, or it has
+    /// been dead and missing from the platform's list for longer than the list's lag, and this host has a
+    /// majority. An incarnation whose address is not in the table counts as ended if it is missing from a
+    /// current list, this host has been running for more than twice the lag, and it has a majority.
     ///
-    /// In all other cases the result is `false`. A paused or cut-off run may resume and keep spending
-    /// the tokens that another host has taken over; the team would then exceed its rate.
+    /// In all other cases the result is `false`. A paused or cut-off incarnation may resume and keep
+    /// spending the tokens that another host has taken over; the team would then exceed its rate.
     pub fn is_confirmed_dead(&self, id: &HostId, now: Instant) -> bool {
         if *id == self.local.host.id {
             return false;
@@ -302,28 +303,28 @@
             return id.incarnation < self.local.host.id.incarnation;
         }
         let lag = self.policy.list_lag;
-        let long_ago = |at: Instant| now.saturating_duration_since(at) > lag;
+        let lag_passed_since = |at: Instant| now.saturating_duration_since(at) > lag;
         match self.members.get(&*id.address) {
             Some(member) if member.host.id.incarnation > id.incarnation => true,
             Some(member) => {
                 member.status == MemberStatus::Dead
-                    && long_ago(member.since)
-                    && member.unlisted_since.is_some_and(long_ago)
+                    && lag_passed_since(member.since)
+                    && member.unlisted_since.is_some_and(lag_passed_since)
                     && self.has_majority()
             }
             None => {
                 let listed = self.is_listed(&id.address);
-                let is_list_current = self.list_read_at.is_some_and(|at| !long_ago(at));
+                let is_list_current = self.list_read_at.is_some_and(|at| !lag_passed_since(at));
                 let waited = now.saturating_duration_since(self.started_at) > lag * 2;
                 !listed && is_list_current && waited && self.has_majority()
             }
         }
     }
 
-    /// Whether a run has ended or has been dead for longer than `timeout`, even if it is not certain that
-    /// it ended. A run that is not in the table counts as dead once this host has been running for longer
-    /// than `timeout` plus the list's lag. The result is enough to take over fenced work, but not to spend
-    /// the run's tokens.
+    /// Returns whether an incarnation has ended or has been dead for longer than `timeout`, even if it is
+    /// not certain that it ended. An incarnation whose address is not in the table counts as dead once this
+    /// host has been running for longer than `timeout` plus the list's lag. The result is enough to take
+    /// over fenced work, but not to spend the incarnation's tokens.
     pub fn is_dead_for(&self, id: &HostId, timeout: Duration, now: Instant) -> bool {
         if id.address == self.local.host.id.address {
             return id.incarnation != self.local.host.id.incarnation;
@@ -388,9 +389,9 @@
     /// number above that of the state, so that its own state wins.
     fn refute(&mut self, state: &HostState, now: Instant) {
         let local = &mut self.local;
-        let is_this_run = state.incarnation == local.host.id.incarnation;
+        let is_same_incarnation = state.incarnation == local.host.id.incarnation;
         let is_wrong = MemberStatus::from_wire(state.status()) != local.status;
-        if is_this_run && is_wrong && state.sequence >= local.sequence {
+        if is_same_incarnation && is_wrong && state.sequence >= local.sequence {
             local.sequence = state.sequence + 1;
             local.since = now;
         }
@@ -416,10 +417,10 @@
     /// Removes hosts that have been dead and unlisted for longer than `dead_member_ttl`.
     fn remove_dead_members(&mut self, now: Instant) {
         let limit = self.policy.dead_member_ttl;
-        let long_ago = |at: Instant| now.saturating_duration_since(at) > limit;
+        let ttl_passed_since = |at: Instant| now.saturating_duration_since(at) > limit;
         self.members.retain(|_, member| {
-            let dead = member.status == MemberStatus::Dead && long_ago(member.since);
-            !(dead && member.unlisted_since.is_some_and(long_ago))
+            let dead = member.status == MemberStatus::Dead && ttl_passed_since(member.since);
+            !(dead && member.unlisted_since.is_some_and(ttl_passed_since))
         });
     }
 
--- a/crates/cuminramp-membership/src/table/tests.rs
+++ b/crates/cuminramp-membership/src/table/tests.rs
@@ -38,7 +38,8 @@
     tables
 }
 
-/// Runs one step of every table over a network in which a message arrives if `reaches(from, to)`.
+/// Runs one step of every table over a network in which a message arrives if `reaches(from, to)`
+/// returns true.
 fn step(
     tables: &mut [MemberTable],
     random: &mut SeededRandom,
@@ -113,10 +114,10 @@
     let start = Instant::now();
     let mut tables = connected_tables(11, start);
     let mut random = SeededRandom::new(1);
-    let dead = |from: usize, to: usize| from != 0 && to != 0;
+    let reaches = |from: usize, to: usize| from != 0 && to != 0;
 
     for tick in 1..=8 {
-        step(&mut tables, &mut random, &dead, start + Duration::from_millis(250) * tick);
+        step(&mut tables, &mut random, &reaches, start + Duration::from_millis(250) * tick);
     }
 
     assert!(tables[1..].iter().all(|table| table.usable_hosts().len() == 10));
@@ -129,10 +130,10 @@
     let start = Instant::now();
     let mut tables = connected_tables(11, start);
     let mut random = SeededRandom::new(2);
-    let cut = |from: usize, to: usize| !matches!((from, to), (0, 1) | (2, 3) | (3, 2));
+    let reaches = |from: usize, to: usize| !matches!((from, to), (0, 1) | (2, 3) | (3, 2));
 
     for tick in 1..=80 {
-        step(&mut tables, &mut random, &cut, start + Duration::from_millis(250) * tick);
+        step(&mut tables, &mut random, &reaches, start + Duration::from_millis(250) * tick);
     }
 
     let dead = tables
@@ -147,9 +148,9 @@
     let start = Instant::now();
     let mut tables = connected_tables(11, start);
     let mut random = SeededRandom::new(3);
-    let paused = |from: usize, to: usize| from != 0 && to != 0;
+    let reaches = |from: usize, to: usize| from != 0 && to != 0;
     for tick in 1..=40 {
-        step(&mut tables, &mut random, &paused, start + Duration::from_millis(250) * tick);
+        step(&mut tables, &mut random, &reaches, start + Duration::from_millis(250) * tick);
     }
 
     for tick in 41..=60 {
@@ -162,7 +163,7 @@
 // A paused host is declared dead while the platform still lists it. If its shards were taken over, their
 // tokens would be spent twice once the host resumes.
 #[test]
-fn a_listed_host_is_never_certainly_dead() {
+fn a_listed_host_is_never_confirmed_dead() {
     let start = Instant::now();
     let mut table = connected_tables(3, start).remove(0);
     let id = host(1, 1).id;
@@ -179,7 +180,7 @@
 }
 
 #[test]
-fn a_later_run_at_the_same_address_proves_that_the_earlier_one_ended() {
+fn a_later_incarnation_at_the_same_address_proves_that_the_earlier_one_ended() {
     let start = Instant::now();
     let mut table = connected_tables(3, start).remove(0);
     let restarted = MemberTable::new(host(1, 2), MemberPolicy::default(), start);
@@ -197,10 +198,10 @@
     let start = Instant::now();
     let mut tables = connected_tables(11, start);
     let mut random = SeededRandom::new(5);
-    let cut = |from: usize, to: usize| (from < 4) == (to < 4);
+    let reaches = |from: usize, to: usize| (from < 4) == (to < 4);
 
     for tick in 1..=60 {
-        step(&mut tables, &mut random, &cut, start + Duration::from_millis(250) * tick);
+        step(&mut tables, &mut random, &reaches, start + Duration::from_millis(250) * tick);
     }
 
     assert!(tables[..4].iter().all(|table| !table.has_majority()));
