--- a/crates/cuminramp-batch/src/picker.rs
+++ b/crates/cuminramp-batch/src/picker.rs
@@ -16,7 +16,7 @@
 /// Weighted fair scheduler of a host's chunks: teams share them by weight, and the jobs of one team
 /// share its part round-robin.
 ///
-/// In order of arrival, a job of 84,000 items would delay a job of 80 items until it has ended.
+/// If jobs ran in order of arrival, one of 84,000 items would delay one of 80 items until it has ended.
 #[derive(Debug, Default)]
 pub struct JobPicker {
     /// Items scheduled so far for each team, divided by its weight.
--- a/crates/cuminramp-routes/src/configuration.rs
+++ b/crates/cuminramp-routes/src/configuration.rs
@@ -116,7 +116,7 @@
     }
 
     fn put_key(&mut self, entry: &KeyEntry) {
-        if let Some((digest, grant)) = self.read_key(entry) {
+        if let Some((digest, grant)) = self.convert_key(entry) {
             self.keys.insert(digest, grant);
         }
     }
@@ -124,7 +124,7 @@
     /// Converts a key's entry, or returns `None` if its digest is malformed.
     ///
     /// The grant shares the name of a declared team, so that many keys of a team don't each store a copy.
-    fn read_key(&self, entry: &KeyEntry) -> Option<(KeyDigest, KeyGrant)> {
+    fn convert_key(&self, entry: &KeyEntry) -> Option<(KeyDigest, KeyGrant)> {
         let digest = KeyDigest::from_bytes(&entry.digest)?;
         let team = match self.teams.get(entry.team.as_str()) {
             Some(team) => team.name.clone(),
@@ -133,7 +133,7 @@
         Some((digest, KeyGrant { team, label: Name::from(entry.label.as_str()) }))
     }
 
-    /// Returns the whole configuration as one message.
+    /// Returns the full configuration as one message.
     pub fn to_snapshot(&self) -> Snapshot {
         Snapshot {
             generation: self.generation,
@@ -162,7 +162,8 @@
             teams: teams.map(|team| (team.name.clone(), team)).collect(),
             keys: SortedMap::new(),
         };
-        let keys = snapshot.keys.iter().filter_map(|entry| configuration.read_key(entry)).collect();
+        let keys =
+            snapshot.keys.iter().filter_map(|entry| configuration.convert_key(entry)).collect();
         configuration.keys = keys;
         configuration
     }
--- a/crates/cuminramp-routes/src/declarations.rs
+++ b/crates/cuminramp-routes/src/declarations.rs
@@ -121,7 +121,7 @@
     Tokens,
 }
 
-/// Customer, with its rate limit and its weight.
+/// Group of callers with a common rate limit and a weight.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Team {
@@ -131,7 +131,7 @@
     pub rate: f64,
     /// Requests or tokens that all hosts together admit at once.
     pub burst: f64,
-    /// Weight by which the team shares idle capacity with other teams.
+    /// Weight by which the team shares capacity with other teams while requests or batch items wait.
     #[serde(default = "default_weight")]
     pub weight: u32,
     /// Unit of `rate` and `burst`.
