--- a/crates/cuminramp-daemon/src/batch/chunks.rs
+++ b/crates/cuminramp-daemon/src/batch/chunks.rs
@@ -73,8 +73,8 @@
 
 /// Writes the crash counts of items to the chunk's row, before any of these items runs again.
 ///
-/// Without the counts, the chunk's next holder would not run these items alone and would start to count
-/// their crashes anew.
+/// Without the counts, the chunk's next holder would not run these items alone and would count their
+/// crashes from 0 again.
 pub(crate) async fn write_crash_counts(state: &Arc<DaemonState>, chunk: &Arc<LeasedChunk>) {
     while !chunk.dropped.is_cancelled() {
         let crash_counts = chunk.crash_counts();
--- a/crates/cuminramp-daemon/src/batch/claims.rs
+++ b/crates/cuminramp-daemon/src/batch/claims.rs
@@ -176,8 +176,8 @@
     Ok(items)
 }
 
-/// Whether this host may lease chunks of jobs for a model, which it may if it is the batch owner of an
-/// engine that serves the model.
+/// Returns whether this host may lease chunks of jobs for a model, which it may if it is the batch owner of
+/// an engine that serves the model.
 ///
 /// A host that is batch owner of no such engine can run almost none of the items: they would wait here
 /// while engines of other hosts are idle. A job whose model has no route may be leased by any host, so
@@ -339,7 +339,7 @@
 /// Queues an item for the pool that serves its model. An item whose model has no route fails.
 pub(crate) fn queue_item(state: &Arc<DaemonState>, item: ItemRef) {
     let in_force = state.configuration.in_force();
-    let (model, runs_alone) = {
+    let (model, is_isolated) = {
         let items = lock(&item.chunk.items);
         let leased = &items[item.index];
         let model = leased.item.as_ref().map(|item| item.model.clone()).unwrap_or_default();
@@ -352,7 +352,7 @@
     let team = item.chunk.job.team.clone();
     let weight = in_force.configuration.teams.get(&*team).map_or(1, |team| team.weight);
     let mut waiting = lock(&state.batch.waiting);
-    if runs_alone {
+    if is_isolated {
         waiting.isolated.get_or_insert_with(pool, Default::default).push_back(item);
     } else {
         waiting.ready.get_or_insert_with(pool, Default::default).push(&team, weight, 1, item);
--- a/crates/cuminramp-daemon/src/batch/jobs.rs
+++ b/crates/cuminramp-daemon/src/batch/jobs.rs
@@ -98,7 +98,7 @@
         endpoint: request.endpoint.clone(),
         items: layout.items,
         model,
-        chunk_items: layout.chunks.first().map_or(0, |place| place.items),
+        chunk_items: layout.chunks.first().map_or(0, |range| range.items),
         state: JobState::Running.into(),
         created_unix: unix_now(),
         metadata_json: request.metadata_text(),
--- a/crates/cuminramp-daemon/src/batch/mod.rs
+++ b/crates/cuminramp-daemon/src/batch/mod.rs
@@ -21,17 +21,17 @@
 pub(crate) use runner::run_items;
 pub(crate) use windows::BatchState;
 
-/// Name of the object that holds the positions of a job's chunks in its input file.
+/// Returns the name of the object that holds the positions of a job's chunks in its input file.
 fn layout_name(job: &str) -> String {
     format!("jobs/{job}/layout")
 }
 
-/// Name of the object that lists the results of a finished job.
+/// Returns the name of the object that lists the results of a finished job.
 fn manifest_name(job: &str) -> String {
     format!("jobs/{job}/manifest")
 }
 
-/// Key of the row that lists a job among its team's jobs.
+/// Returns the key of the row that lists a job among its team's jobs.
 fn team_job_key(team: &str, job: &str) -> String {
     format!("team-job/{team}/{job}")
 }
--- a/crates/cuminramp-daemon/src/batch/runner.rs
+++ b/crates/cuminramp-daemon/src/batch/runner.rs
@@ -60,7 +60,7 @@
     pools.filter(|pool| pool.kind == PoolKind::Engines).cloned().collect()
 }
 
-/// Whether items wait here for a pool although this host is the batch owner of none of its engines.
+/// Returns whether items wait here for a pool although this host is the batch owner of none of its engines.
 ///
 /// This happens if the batch owner changed after the items were leased, or if a job has items for
 /// several models. These items would wait forever, so this host runs them beside the batch owners'
@@ -101,7 +101,7 @@
             size,
             free: size.saturating_sub(running),
             is_empty: running == 0,
-            is_exclusive: engine.running.iter().any(|item| item.alone),
+            has_isolated: engine.running.iter().any(|item| item.isolated),
         }
     });
     start_items(state, pool, target, &capacity);
@@ -113,20 +113,20 @@
     size: u32,
     free: u32,
     is_empty: bool,
-    /// Whether an item runs that nothing else of batch may run beside.
-    is_exclusive: bool,
+    /// Whether an item runs beside which this host may run no other batch item.
+    has_isolated: bool,
 }
 
 /// Starts waiting items in an engine's free capacity. While no item of this host runs there, an item that
 /// must run alone goes first; otherwise only other items are started.
 fn start_items(state: &Arc<DaemonState>, pool: &Pool, target: &Target, capacity: &WindowCapacity) {
-    if capacity.is_exclusive || capacity.free == 0 {
+    if capacity.has_isolated || capacity.free == 0 {
         return;
     }
     if capacity.is_empty
-        && let Some(isolated) = next_isolated(state, &pool.name)
+        && let Some(item) = next_isolated(state, &pool.name)
     {
-        return start_item(state, pool, target, isolated, true);
+        return start_item(state, pool, target, item, true);
     }
     for _ in 0..capacity.free {
         let Some(item) = next_ready(state, &pool.name) else {
@@ -162,10 +162,16 @@
     }
 }
 
-fn start_item(state: &Arc<DaemonState>, pool: &Pool, target: &Target, item: ItemRef, alone: bool) {
+fn start_item(
+    state: &Arc<DaemonState>,
+    pool: &Pool,
+    target: &Target,
+    item: ItemRef,
+    isolated: bool,
+) {
     let number = state.next_number();
     let cancel = CancellationToken::new();
-    let running = RunningItem { number, cancel: cancel.clone(), alone };
+    let running = RunningItem { number, cancel: cancel.clone(), isolated };
     state.batch.with_engine(&target.name, target.slots, |engine| engine.running.push(running));
     let lease = TargetLease::new(state, &pool.name, target.clone(), WorkKind::Batch);
     let state = state.clone();
@@ -176,7 +182,7 @@
         state.batch.with_engine(&target.name, target.slots, |engine| {
             engine.running.retain(|running| running.number != number);
         });
-        handle_end(&state, item, end, alone).await;
+        handle_end(&state, item, end, isolated).await;
         state.batch.runner_wakeup.notify_one();
     });
 }
@@ -185,7 +191,7 @@
 enum ItemEnd {
     /// The target answered.
     Answered(ItemOutcome),
-    /// The run was cancelled to make room on the engine; the item is queued again.
+    /// The run was cancelled to free capacity on the engine; the item is queued again.
     Preempted,
     /// The target did not accept the item, which did not run.
     NotRun,
@@ -266,7 +272,7 @@
 }
 
 /// Records the outcome of an item whose run has ended, or queues the item again.
-async fn handle_end(state: &Arc<DaemonState>, item: ItemRef, end: ItemEnd, alone: bool) {
+async fn handle_end(state: &Arc<DaemonState>, item: ItemRef, end: ItemEnd, isolated: bool) {
     match end {
         ItemEnd::Dropped => {}
         ItemEnd::Answered(outcome) => finish_item(state, &item, outcome),
@@ -276,7 +282,7 @@
             queue_item(state, item);
         }
         ItemEnd::Failed => handle_failure(state, item),
-        ItemEnd::Crashed => handle_crash(state, item, alone).await,
+        ItemEnd::Crashed => handle_crash(state, item, isolated).await,
     }
 }
 
@@ -300,17 +306,17 @@
 /// It is not known which of the target's items caused the crash, so from now on each of them runs alone.
 /// An item that crashes targets while it runs alone, as often as the configured limit, ends with an
 /// error. The count is written to the chunk's row before the item runs again.
-async fn handle_crash(state: &Arc<DaemonState>, item: ItemRef, alone: bool) {
+async fn handle_crash(state: &Arc<DaemonState>, item: ItemRef, isolated: bool) {
     let crashes = {
         let mut items = lock(&item.chunk.items);
         let leased = &mut items[item.index];
-        let crashes = leased.crashes.unwrap_or(0) + u32::from(alone);
+        let crashes = leased.crashes.unwrap_or(0) + u32::from(isolated);
         leased.crashes = Some(crashes);
         crashes
     };
     log::info!(
         job = &*item.chunk.job.id, chunk = item.chunk.index, item = item.index as u64,
-        crashes = crashes, alone = alone;
+        crashes = crashes, alone = isolated;
         "item-crash"
     );
     write_crash_counts(state, &item.chunk).await;
--- a/crates/cuminramp-daemon/src/batch/windows.rs
+++ b/crates/cuminramp-daemon/src/batch/windows.rs
@@ -22,7 +22,7 @@
     pub(crate) cancel: CancellationToken,
     /// Whether this host must run no other batch item on the engine, because a target crashed while it
     /// ran this item.
-    pub(crate) alone: bool,
+    pub(crate) isolated: bool,
 }
 
 /// An engine's batch window on this host, and the items that this host runs there.
@@ -40,7 +40,7 @@
 }
 
 impl WaitingItems {
-    /// Whether any items wait for a pool.
+    /// Returns whether any items wait for a pool.
     pub(crate) fn has_items_for(&self, pool: &str) -> bool {
         let ready = self.ready.get(pool).is_some_and(|queue| !queue.is_empty());
         ready || self.isolated.get(pool).is_some_and(|queue| !queue.is_empty())
@@ -117,14 +117,14 @@
         }
     }
 
-    /// Whether any job is open or any batch item waits or runs on this host.
+    /// Returns whether any job is open or any batch item waits or runs on this host.
     pub(crate) fn has_work(&self) -> bool {
         self.has_open_jobs.load(Ordering::Relaxed)
             || lock(&self.waiting).len() > 0
             || lock(&self.engines).values().any(|engine| !engine.running.is_empty())
     }
 
-    /// Returns the targets of a pool that online work should prefer, so that batch has the others;
+    /// Returns the targets of a pool that online work should prefer, so that batch work has the others;
     /// `None` while no job is open, when online work uses all targets.
     pub(crate) fn preferred_online_targets(
         &self,
@@ -186,7 +186,7 @@
     Some(batch_owner.id.address.clone())
 }
 
-/// Whether this host is the batch owner of any target of a pool.
+/// Returns whether this host is the batch owner of any target of a pool.
 pub(crate) fn owns_any_batch(state: &DaemonState, pool: &Pool) -> bool {
     let is_owned = |target: &Target| {
         batch_owner_of(state, &target.name)
