--- a/crates/cuminramp-daemon/src/admission.rs
+++ b/crates/cuminramp-daemon/src/admission.rs
@@ -37,8 +37,8 @@
 ) -> Result<(), Refusal> {
     let limits = TeamLimits::from_tokens(team.rate, team.burst);
     match decide_admission(state, &team.name, limits, cost, false) {
-        Admission::Admitted(advance_plan) => {
-            if let Some(plan) = advance_plan {
+        Admission::Admitted(prefetch_plan) => {
+            if let Some(plan) = prefetch_plan {
                 let (state, name) = (state.clone(), team.name.clone());
                 state.tasks.clone().spawn(async move { borrow(&state, &name, &plan).await });
             }
--- a/crates/cuminramp-daemon/src/daemon.rs
+++ b/crates/cuminramp-daemon/src/daemon.rs
@@ -34,10 +34,11 @@
 
 /// Maximum number of concurrent connections of operators and scrapers.
 const MAX_OPERATOR_CONNECTIONS: usize = 256;
-/// Divisor of the host list's lag, after which other hosts may take over the shards of a silent one: a host
-/// that was paused for longer than the quotient no longer trusts its ownership of shards.
+/// Divisor of the host list's lag that gives the maximum pause of a host. After the lag, other hosts may take
+/// over the shards of a silent host, so a host that was paused for longer than the quotient no longer relies
+/// on its ownership of shards.
 const MAX_PAUSE_DIVISOR: u32 = 4;
-/// Delay for which a leaving host still accepts new callers, since clients cache steering answers that name
+/// Delay for which a leaving host still accepts new callers, since callers cache steering answers that name
 /// it.
 const DRAIN_DELAY: Duration = Duration::from_secs(1);
 
@@ -260,7 +261,7 @@
         drain: CancellationToken::new(),
         stop: CancellationToken::new(),
         ready: AtomicBool::new(false),
-        next_grant: AtomicU64::new(1),
+        next_number: AtomicU64::new(1),
         settings,
         me,
         platform,
--- a/crates/cuminramp-daemon/src/dispatch/online.rs
+++ b/crates/cuminramp-daemon/src/dispatch/online.rs
@@ -123,7 +123,7 @@
         lock(&self.state.crashes).on_success(self.fingerprint);
     }
 
-    /// Returns the targets that the request must not run on.
+    /// Returns the targets that the request should not run on while another one is eligible.
     ///
     /// For a request that has crashed a target, they are the targets on which other such requests run. If
     /// two of them ran on one target and it crashed, the crash would be counted against the harmless one
--- a/crates/cuminramp-daemon/src/entry/body.rs
+++ b/crates/cuminramp-daemon/src/entry/body.rs
@@ -9,8 +9,8 @@
 
 /// Reads a body of at most `max_bytes` bytes within the body timeout of the settings.
 ///
-/// Without the timeout a caller that stops sending in the middle of a body would hold its connection for
-/// ever.
+/// Without the timeout a caller that stops sending in the middle of a body would hold its connection
+/// forever.
 pub(crate) async fn read_bounded(
     state: &DaemonState,
     body: Body,
--- a/crates/cuminramp-daemon/src/entry/calls.rs
+++ b/crates/cuminramp-daemon/src/entry/calls.rs
@@ -25,7 +25,7 @@
 
 /// Header with the key that distinguishes a retry from a new request.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Maximum length of an idempotency key.
+/// Maximum length of an idempotency key, in characters.
 const MAX_KEY_CHARS: usize = 256;
 
 /// Handles a call to a service.
--- a/crates/cuminramp-daemon/src/logging.rs
+++ b/crates/cuminramp-daemon/src/logging.rs
@@ -13,7 +13,7 @@
 use logforth::{Diagnostic, Error};
 
 /// Maximum number of lines queued for the writer. At about 300 bytes a line the queue holds at most 600 KB;
-/// a host under full load writes some hundred lines a second.
+/// a host under full load writes a few hundred lines a second.
 const MAX_QUEUED_LINES: usize = 2_000;
 
 /// Size in bytes from which no further lines are added to a write.
@@ -104,7 +104,7 @@
 }
 
 /// Appends further queued lines to `line`, so that one write covers them; returns the first command that is
-/// no line, if it finds one.
+/// not a line, if it finds one.
 fn append_queued(line: &mut Vec<u8>, queued: &Receiver<WriterCommand>) -> Option<WriterCommand> {
     while line.len() < WRITE_BATCH_BYTES {
         match queued.try_recv().ok()? {
--- a/crates/cuminramp-daemon/src/marks.rs
+++ b/crates/cuminramp-daemon/src/marks.rs
@@ -24,7 +24,7 @@
 /// Delay between attempts to write the ends of requests.
 const END_WRITE_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Minimum interval between writes of ends, as a multiple of the interval between writes of marks.
-/// Ends can be written less often, because only a resend of the request waits for them.
+/// Ends can be written less often, because only a retry by the caller depends on them.
 const END_INTERVAL_FACTOR: u32 = 4;
 /// Retry-After of a refusal because the mark can't be written or the earlier request has not ended yet.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -118,7 +118,7 @@
 
 /// How a marked request ended.
 pub(crate) enum MarkEnd {
-    /// The request ended with an answer, which is stored for a resend.
+    /// The request ended with an answer, which is stored for a retry by the caller.
     Answered {
         /// HTTP status of the answer.
         status: u32,
@@ -129,7 +129,7 @@
     },
     /// The request ran or may have run; its answer is not stored.
     AnswerNotStored,
-    /// The request certainly did not run, so a resend may run.
+    /// The request certainly did not run, so a retry by the caller may run.
     NotRun,
 }
 
@@ -182,7 +182,7 @@
                     return Err(Refusal::not_run(ResultCode::FieldInvalid, message));
                 }
                 if !existing.not_run {
-                    return decide_resend(existing);
+                    return decide_caller_retry(existing);
                 }
                 // The earlier request certainly did not run, so this mark replaces its mark.
                 version = found.version;
@@ -191,8 +191,8 @@
     }
 }
 
-/// Decides on a resend of a request that ran or may have run.
-fn decide_resend(existing: MarkRow) -> Result<MarkDecision, Refusal> {
+/// Decides on a retry by the caller of a request that ran or may have run.
+fn decide_caller_retry(existing: MarkRow) -> Result<MarkDecision, Refusal> {
     if existing.finished && existing.status > 0 {
         return Ok(MarkDecision::Answered(existing));
     }
@@ -304,8 +304,8 @@
 
 /// Reads marks back after a conflict or a write with unknown outcome, and reports the result of each.
 ///
-/// A mark holds a token of its writer (`MarkRow::key`), which distinguishes this host's write, if its
-/// answer was lost, from a write by another host.
+/// A mark holds the id of its writer (`MarkRow::key`), which distinguishes this host's write, if its answer
+/// was lost, from a write by another host.
 async fn read_back_marks(state: &DaemonState, group: Vec<PendingMark>) {
     let keys: Vec<String> = group.iter().map(|mark| mark.key.clone()).collect();
     for _ in 0..MAX_READ_BACK_ATTEMPTS {
--- a/crates/cuminramp-daemon/src/operator/declarations.rs
+++ b/crates/cuminramp-daemon/src/operator/declarations.rs
@@ -90,8 +90,8 @@
     json!({"change": action, "table": table, "name": name})
 }
 
-/// Queries all usable hosts for their generation and returns the results; `null` for a host that does not
-/// answer.
+/// Queries all alive and leaving hosts for their generation and returns the results; `null` for a host that
+/// does not answer.
 pub(crate) async fn show_generations(State(state): State<Arc<DaemonState>>) -> Json<Value> {
     let peers = lock(&state.members).answering_peers();
     let mut pulls = tokio::task::JoinSet::new();
--- a/crates/cuminramp-daemon/src/operator/keys.rs
+++ b/crates/cuminramp-daemon/src/operator/keys.rs
@@ -95,8 +95,8 @@
     format!("{KEY_PREFIX}{hex}")
 }
 
-/// Publishes one change of keys, and retries it on conflicts. It does not depend on the rest of the
-/// configuration, so it is valid after any other change.
+/// Publishes one change of keys, and retries it on conflicts. A change of keys does not depend on the rest
+/// of the configuration, so it is valid after any other change.
 async fn publish_retrying(state: &Arc<DaemonState>, change: Change) -> Result<u64, PublishError> {
     let mut last = PublishError::Unknown("not tried".into());
     for _ in 0..MAX_PUBLISH_ATTEMPTS {
--- a/crates/cuminramp-daemon/src/operator/views.rs
+++ b/crates/cuminramp-daemon/src/operator/views.rs
@@ -16,7 +16,7 @@
 use crate::entry::refusal_response;
 use crate::state::{DaemonState, lock};
 
-/// Liveness check: the daemon runs.
+/// Liveness check: answers while the daemon runs.
 pub(crate) async fn show_health() -> &'static str {
     "ok"
 }
--- a/crates/cuminramp-daemon/src/peer/probing.rs
+++ b/crates/cuminramp-daemon/src/peer/probing.rs
@@ -13,7 +13,7 @@
 /// Number of hosts probed at once to spread a change.
 const SPREAD_FANOUT: usize = 4;
 
-/// Ticks the member table every probe interval and runs the probes it asks for.
+/// Ticks the member table every probe interval and runs the probes that it returns.
 pub(crate) async fn run_probes(state: Arc<DaemonState>) {
     let mut ticks = tokio::time::interval(state.settings.peers.probe_interval());
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -70,8 +70,9 @@
     true
 }
 
-/// Probes a host through `relays`, and marks it as suspect if it is alive for none of them.
+/// Probes a host through `relays`, and marks it as suspect if it answers none of them.
 async fn indirect_probe(state: &Arc<DaemonState>, target: &Name, relays: &[Name]) {
+    // Longer than a direct probe: the relay's own probe may last for the probe timeout.
     let timeout = state.settings.peers.probe_timeout() * 3;
     let mut probes = tokio::task::JoinSet::new();
     for relay in relays {
@@ -136,7 +137,7 @@
     members.on_message(sender, now);
 }
 
-/// Whether the sender's digest shows a newer generation, or other withdrawals or shards than here.
+/// Returns whether the sender's digest shows a newer generation, or other withdrawals or shards than here.
 fn needs_pull(state: &DaemonState, theirs: &VersionDigest) -> bool {
     let mine = version_digest(state);
     theirs.generation > mine.generation
--- a/crates/cuminramp-daemon/src/state.rs
+++ b/crates/cuminramp-daemon/src/state.rs
@@ -58,13 +58,13 @@
     /// Cancelled when the daemon stops.
     pub(crate) stop: CancellationToken,
     pub(crate) ready: AtomicBool,
-    pub(crate) next_grant: AtomicU64,
+    pub(crate) next_number: AtomicU64,
 }
 
 impl DaemonState {
     /// Returns a number that is unique within this incarnation.
     pub(crate) fn next_number(&self) -> u64 {
-        self.next_grant.fetch_add(1, Ordering::Relaxed)
+        self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Returns an id for a write that no other write has, on this host or another.
@@ -72,9 +72,9 @@
         format!("{}/{}/{}", self.me.id.address, self.me.id.incarnation, self.next_number())
     }
 
-    /// Whether the configuration on this host can be trusted to be current: the table answered this host or
-    /// one in contact with it within `unconfirmed_after`. Also true if this host receives from a majority of
-    /// the hosts or is the only one: then the table is down for all.
+    /// Returns whether the configuration on this host counts as current: the table answered this host, or one
+    /// that reported it in a probe, within `unconfirmed_after`. Also true if a majority of the hosts answers
+    /// this host, or if it is the only one: then the table is down for all.
     pub(crate) fn is_confirmed(&self, now: Instant) -> bool {
         let limit = self.settings.configuration.unconfirmed_after();
         if self.contact.age(now) <= limit {
@@ -93,8 +93,9 @@
         self.own_contact.record(at);
     }
 
-    /// Whether this host may spend the tokens of shards that it owns. With `QuotaPolicy::ExpiringLease`, a
-    /// baseline for comparison, the table must have answered this host within the lease.
+    /// Returns whether this host may spend the tokens of shards that it owns. With
+    /// `QuotaPolicy::ExpiringLease`, a baseline for comparison, the table must have answered this host within
+    /// the lease.
     pub(crate) fn may_spend(&self, now: Instant) -> bool {
         match self.settings.quota.policy {
             QuotaPolicy::ExpiringLease => self.own_contact.age(now) <= self.settings.quota.lease(),
--- a/crates/cuminramp-daemon/src/sync/configuration.rs
+++ b/crates/cuminramp-daemon/src/sync/configuration.rs
@@ -41,6 +41,7 @@
     /// Also locked while `in_force` or `withdrawals` is replaced, so that of two concurrent updates neither
     /// is lost.
     log: Mutex<GenerationLog>,
+    /// Number of changes of the generation or of the withdrawals.
     changed: watch::Sender<u64>,
 }
 
--- a/crates/cuminramp-daemon/src/sync/publisher.rs
+++ b/crates/cuminramp-daemon/src/sync/publisher.rs
@@ -22,7 +22,7 @@
 /// Interval between attempts to write withdrawals that the table lacks.
 const WITHDRAWAL_WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a change was not accepted.
+/// Reason why a change was not accepted.
 #[derive(Clone, Debug)]
 pub(crate) enum PublishError {
     /// The change was based on a generation that is not the newest one.
--- a/crates/cuminramp-daemon/src/sync/shards.rs
+++ b/crates/cuminramp-daemon/src/sync/shards.rs
@@ -89,9 +89,9 @@
     }
 }
 
-/// Whether there are shards to claim or to hand over, by this host's copy of the shard map. If so, the
-/// full map is read before anything is written; otherwise it is seldom read, since digests in probes let
-/// hosts detect and pull changes of it.
+/// Returns whether there are shards to claim or to hand over, by this host's copy of the shard map. If so,
+/// the full map is read before anything is written; otherwise it is seldom read, since digests in probes
+/// let hosts detect and pull changes of it.
 fn has_work(state: &DaemonState) -> bool {
     let hosts = usable_hosts(state);
     !plan_claims(state, &hosts).is_empty() || lock(&state.ledger).shards().has_moves(&hosts)
@@ -141,13 +141,13 @@
         return Vec::new();
     }
     let ledger = lock(&state.ledger);
-    let lease = state.settings.quota.lease() * 2;
+    let takeover_delay = state.settings.quota.lease() * 2;
     let has_leases = state.settings.quota.policy == QuotaPolicy::ExpiringLease;
-    let is_free = |owner: &HostId| {
+    let may_claim_from = |owner: &HostId| {
         members.is_confirmed_dead(owner, now)
-            || (has_leases && members.is_dead_for(owner, lease, now))
+            || (has_leases && members.is_dead_for(owner, takeover_delay, now))
     };
-    ledger.shards().plan_claims(hosts, is_free)
+    ledger.shards().plan_claims(hosts, may_claim_from)
 }
 
 async fn move_shards(state: &Arc<DaemonState>, rows: &[VersionedShard]) {
--- a/crates/cuminramp-daemon/src/sync/targets.rs
+++ b/crates/cuminramp-daemon/src/sync/targets.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Polls the load of all engines.
+/// Polls the load of all engines. Returns at once if the poll interval is 0, which disables polling.
 pub(crate) async fn poll_loads(state: Arc<DaemonState>) {
     let interval = state.settings.targets.load_poll();
     if interval.is_zero() {
