--- a/crates/cuminramp-settings/src/check.rs
+++ b/crates/cuminramp-settings/src/check.rs
@@ -11,8 +11,8 @@
 /// Valid values of `log-level`.
 pub(crate) const LOG_LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
-/// Minimum of `platform.list-lag-ms`. A host treats itself as paused after a fraction of that time;
-/// below this minimum, a host that is only busy would do so.
+/// Minimum of `platform.list-lag-ms`. A host whose tasks did not run for a fraction of that time treats
+/// itself as paused; with a value below this minimum, a host that is only busy would do so.
 const MIN_LIST_LAG_MS: u64 = 2_000;
 
 /// An invalid setting and its place.
@@ -37,7 +37,7 @@
     }
 }
 
-/// Parses the settings of a daemon, JSON with comments; a setting that is not given has its default.
+/// Parses the settings of a daemon, in JSON with comments; a setting that is not given has its default.
 ///
 /// On failure, returns every unknown key and wrong type, or, if there are none, every value that is
 /// out of bounds.
--- a/crates/cuminramp-settings/src/gateway.rs
+++ b/crates/cuminramp-settings/src/gateway.rs
@@ -94,7 +94,7 @@
     }
 }
 
-/// Parses the settings of a gateway, JSON with comments; a setting that is not given has its default.
+/// Parses the settings of a gateway, in JSON with comments; a setting that is not given has its default.
 ///
 /// On failure, returns every unknown key and wrong type, or, if there are none, every value that is
 /// out of bounds.
@@ -120,10 +120,10 @@
     if errors.is_empty() { Ok(settings) } else { Err(errors) }
 }
 
-/// Maximum of a time, in seconds: one day. A time too long for a `Duration` would panic at startup
-/// without naming the setting.
+/// Maximum of a setting in seconds: one day. A time too long for a `Duration` would cause a panic at
+/// startup that does not name the setting.
 const MAX_TIME_S: f64 = 86_400.0;
-/// Minimum of a time, in seconds: the resolution of the runtime's timers.
+/// Minimum of a setting in seconds that must be above 0: the resolution of the runtime's timers.
 const MIN_TIME_S: f64 = 0.001;
 
 fn check_values(settings: &GatewaySettings, errors: &mut Vec<SettingsError>) {
--- a/crates/cuminramp-settings/src/settings.rs
+++ b/crates/cuminramp-settings/src/settings.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct DaemonSettings {
-    /// Address that callers connect to, as `ip:port`; port 0 takes any free port.
+    /// Address that callers connect to, as `ip:port`; port 0 selects a free port.
     pub caller_address: String,
     /// Address that operators and metrics scrapers connect to, as `ip:port`.
     pub operator_address: String,
@@ -35,7 +35,7 @@
     pub operator_token: String,
     /// Lowest level of log lines: `error`, `warn`, `info`, `debug` or `trace`.
     pub log_level: String,
-    /// Seed of random choices; 0 takes a seed from the operating system.
+    /// Seed of random choices; with 0, the operating system provides the seed.
     pub random_seed: u64,
     /// Access to the platform's services.
     pub platform: PlatformAccess,
@@ -96,7 +96,7 @@
     /// Whether this host announces itself to the platform; off where the platform lists its hosts by
     /// itself.
     pub announce: bool,
-    /// Maximum delay, in milliseconds, until a change shows in the host list.
+    /// Maximum delay, in milliseconds, until a change of the hosts appears in the host list.
     pub list_lag_ms: u64,
 }
 
@@ -114,7 +114,7 @@
 durations!(PlatformAccess {
     /// Timeout of one call.
     timeout = timeout_ms;
-    /// Maximum delay until a change shows in the host list.
+    /// Maximum delay until a change of the hosts appears in the host list.
     list_lag = list_lag_ms;
 });
 
@@ -225,11 +225,11 @@
 pub struct ConfigurationSettings {
     /// Interval, in milliseconds, at which the table is polled for a newer generation.
     pub poll_ms: u64,
-    /// Time, in milliseconds, for which a host goes on accepting keys while it receives nothing from
+    /// Time, in milliseconds, for which a host continues to accept keys while it receives nothing from
     /// the table or from other daemons.
     pub unconfirmed_after_ms: u64,
-    /// Number of change sets kept for peers that are behind; a peer that is further behind gets a
-    /// snapshot.
+    /// Maximum number of change sets kept for peers with older generations; a peer that lacks more of them
+    /// gets a snapshot.
     pub log_generations: usize,
     /// Number of generations after which a snapshot is written.
     pub snapshot_every: u64,
@@ -249,7 +249,7 @@
 durations!(ConfigurationSettings {
     /// Interval at which the table is polled for a newer generation.
     poll = poll_ms;
-    /// Time for which a host goes on accepting keys while it receives nothing from the table or from
+    /// Time for which a host continues to accept keys while it receives nothing from the table or from
     /// other daemons.
     unconfirmed_after = unconfirmed_after_ms;
 });
@@ -285,8 +285,8 @@
     pub max_slices: u32,
     /// Maximum time, in milliseconds, for which tokens borrowed from another host stay valid.
     pub borrow_valid_ms: u64,
-    /// Maximum number of owners that are asked for tokens, one after the other, before a request is
-    /// refused.
+    /// Maximum number of owners from which tokens are requested, one after the other, before a request
+    /// is refused.
     pub borrow_attempts: usize,
     /// Interval, in milliseconds, at which shards are claimed, released and read.
     pub shard_poll_ms: u64,
@@ -357,8 +357,8 @@
     pub load_poll_ms: u64,
     /// Path of an engine's load report.
     pub load_path: String,
-    /// Header that asks an engine to continue an answer after a given number of tokens; empty if
-    /// engines can't.
+    /// Name of the request header with the number of tokens after which an engine continues an answer;
+    /// empty if engines can't.
     pub resume_header: String,
     /// Number of consecutive failures after which a target is ejected.
     pub eject_after: u32,
@@ -369,7 +369,7 @@
     pub eject_share: f64,
     /// Maximum time, in milliseconds, that a request waits for a free slot.
     pub queue_timeout_ms: u64,
-    /// Maximum number of requests of one pool that wait on this host.
+    /// Maximum number of requests of one pool that wait for a free slot on this host.
     pub queue_length: usize,
     /// Maximum number of requests in flight on one target over all hosts, as a multiple of its slots.
     pub slot_factor: f64,
@@ -418,7 +418,7 @@
 pub struct RetrySettings {
     /// Maximum number of attempts of one request, including the first.
     pub attempts: u32,
-    /// Maximum retries a second, as a share of the requests a second.
+    /// Maximum rate of retries, as a share of the rate of requests.
     pub budget_share: f64,
     /// Maximum number of retries at once.
     pub budget_burst: f64,
@@ -483,13 +483,13 @@
     pub max_chunk_items: u32,
     /// Maximum number of chunks that one host holds at once.
     pub chunks_per_host: usize,
-    /// Time, in milliseconds, for which a host must be gone before its chunks are taken over.
+    /// Time, in milliseconds, for which a host must be dead before its chunks are taken over.
     pub takeover_after_ms: u64,
     /// Number of attempts after which an item ends with an error.
     pub item_attempts: u32,
     /// Number of target crashes, with the item running alone, after which the item ends with an error.
     pub item_crashes: u32,
-    /// Share of an engine's slots that batch items may fill when nothing else runs.
+    /// Maximum share of an engine's slots that batch items may fill while nothing else runs.
     pub window_share: f64,
     /// Time, in milliseconds, after online work during which an engine gets no batch items.
     pub yield_ms: u64,
@@ -518,7 +518,7 @@
 durations!(BatchSettings {
     /// Interval at which the table is polled for open jobs.
     poll = poll_ms;
-    /// Time for which a host must be gone before its chunks are taken over.
+    /// Time for which a host must be dead before its chunks are taken over.
     takeover_after = takeover_after_ms;
     /// Time after online work during which an engine gets no batch items.
     yield_time = yield_ms;
