--- a/crates/cuminramp-core/src/code.rs
+++ b/crates/cuminramp-core/src/code.rs
@@ -5,7 +5,7 @@
 
 /// Whether a refused request ran on a target, as far as is known.
 ///
-/// The variants are ordered: the state of a request with several attempts is the greatest of theirs.
+/// The variants are in ascending order: a request with several attempts has the greatest of their values.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Execution {
     /// No byte of the request was sent to a target.
@@ -105,14 +105,14 @@
     DeadlineExceeded = 1302, 504, "upstream_error";
     /// The response stream was interrupted and could not be resumed.
     StreamBroken = 1303, 502, "upstream_error";
-    /// The same request crashed targets before and is not run again until its quarantine ends.
+    /// A daemon refuses the request until its quarantine ends, because it crashed targets before.
     RequestQuarantined = 1304, 422, "invalid_request_error";
-    /// A request with the same idempotency key is running or has run, and its response is not known.
+    /// A request with the same idempotency key is running or has run, and its response is not available.
     AlreadyStarted = 1305, 409, "conflict_error";
     /// The queue of the pool is full.
     QueueFull = 1306, 503, "service_unavailable";
-    /// The same request crashed targets before; it is refused without another run until its quarantine
-    /// ends.
+    /// A gateway refuses the request until its quarantine ends, because it crashed targets before; the
+    /// response states when to retry.
     RequestHeldBack = 1307, 503, "service_unavailable";
     /// The platform's table or object store is unreachable.
     StoreUnavailable = 1400, 503, "service_unavailable";
--- a/crates/cuminramp-http/src/client.rs
+++ b/crates/cuminramp-http/src/client.rs
@@ -62,7 +62,7 @@
 /// every pooled connection had been used once. The first call that times out therefore discards the
 /// whole pool.
 pub struct HttpClient {
-    limits: CallTimeouts,
+    timeouts: CallTimeouts,
     pool: ArcSwap<PooledClient>,
 }
 
@@ -72,11 +72,12 @@
     /// ```
     /// use std::time::Duration;
     /// use cuminramp_http::{CallTimeouts, HttpClient};
-    /// let limits = CallTimeouts { connect: Duration::from_secs(1), response_head: Duration::from_secs(5) };
-    /// let client = HttpClient::new(limits);
+    /// let connect = Duration::from_secs(1);
+    /// let timeouts = CallTimeouts { connect, response_head: Duration::from_secs(5) };
+    /// let client = HttpClient::new(timeouts);
     /// ```
-    pub fn new(limits: CallTimeouts) -> Self {
-        HttpClient { limits, pool: ArcSwap::from_pointee(open_pool(&limits)) }
+    pub fn new(timeouts: CallTimeouts) -> Self {
+        HttpClient { timeouts, pool: ArcSwap::from_pointee(open_pool(&timeouts)) }
     }
 
     /// Sends a request and waits for the response head for at most [`CallTimeouts::response_head`].
@@ -84,7 +85,7 @@
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, CallError> {
-        self.send_with_timeout(request, self.limits.response_head).await
+        self.send_with_timeout(request, self.timeouts.response_head).await
     }
 
     /// Sends a request and waits for the response head for at most `timeout`.
@@ -107,19 +108,22 @@
 
     /// Discards all pooled connections. Calls in flight keep their connections.
     pub fn discard_pool(&self) {
-        self.pool.store(open_pool(&self.limits).into());
+        self.pool.store(open_pool(&self.timeouts).into());
     }
 }
 
 impl fmt::Debug for HttpClient {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.debug_struct("HttpClient").field("limits", &self.limits).finish_non_exhaustive()
+        formatter
+            .debug_struct("HttpClient")
+            .field("timeouts", &self.timeouts)
+            .finish_non_exhaustive()
     }
 }
 
-fn open_pool(limits: &CallTimeouts) -> PooledClient {
+fn open_pool(timeouts: &CallTimeouts) -> PooledClient {
     let mut connector = HttpConnector::new();
-    connector.set_connect_timeout(Some(limits.connect));
+    connector.set_connect_timeout(Some(timeouts.connect));
     connector.set_nodelay(true);
     connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
     connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
@@ -142,20 +146,20 @@
     text
 }
 
-/// Reads a response body of at most `max_bytes` within the timeout `limit`.
+/// Reads a response body of at most `max_bytes` within `timeout`.
 ///
 /// Returns [`CallError::ConnectionFailed`] if the body is larger or the connection fails, and
-/// [`CallError::TimedOut`] if the body is not complete within `limit`.
+/// [`CallError::TimedOut`] if the body is not complete within `timeout`.
 pub async fn read_body(
     body: Incoming,
     max_bytes: usize,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<Bytes, CallError> {
-    match tokio::time::timeout(limit, Limited::new(body, max_bytes).collect()).await {
+    match tokio::time::timeout(timeout, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) => Err(CallError::ConnectionFailed(error.to_string())),
         Err(_) => {
-            Err(CallError::TimedOut(format!("body incomplete after {} ms", limit.as_millis())))
+            Err(CallError::TimedOut(format!("body incomplete after {} ms", timeout.as_millis())))
         }
     }
 }
--- a/crates/cuminramp-platform/src/http_platform.rs
+++ b/crates/cuminramp-platform/src/http_platform.rs
@@ -171,8 +171,12 @@
     /// let platform = cuminramp_platform::HttpPlatform::new("127.0.0.1:7000", Duration::from_secs(2));
     /// ```
     pub fn new(address: &str, timeout: Duration) -> Self {
-        let limits = CallTimeouts { connect: timeout, response_head: timeout };
-        HttpPlatform { client: HttpClient::new(limits), base: format!("http://{address}"), timeout }
+        let timeouts = CallTimeouts { connect: timeout, response_head: timeout };
+        HttpPlatform {
+            client: HttpClient::new(timeouts),
+            base: format!("http://{address}"),
+            timeout,
+        }
     }
 
     async fn call(&self, request: Request<Full<Bytes>>) -> Result<PlatformResponse, StoreError> {
--- a/crates/cuminramp-platform/src/table.rs
+++ b/crates/cuminramp-platform/src/table.rs
@@ -5,7 +5,8 @@
 
 use crate::StoreError;
 
-/// Commit version of a row. It increases with each write to the table; 0 means that no row exists.
+/// Version of a commit, and of the rows that it wrote. It increases with each commit; 0 means that no row
+/// exists.
 pub type Version = u64;
 
 /// A row of the table at the time of a read.
@@ -128,7 +129,7 @@
     /// Reads all rows of a table.
     async fn snapshot(&self, table: &str) -> Result<TableSnapshot, StoreError>;
 
-    /// Waits up to `wait` for changes to a table after version `after`.
+    /// Returns the changes to a table after version `after`; waits up to `wait` for the first one.
     async fn watch(
         &self,
         table: &str,
--- a/crates/cuminramp-wire/src/fleet_service.rs
+++ b/crates/cuminramp-wire/src/fleet_service.rs
@@ -1,4 +1,4 @@
-//! The calls between hosts that share a fleet.
+//! The calls between gateways, the hosts that share a fleet.
 
 use crate::Encoded;
 use crate::fleet::{NewsReply, NewsRequest, StoreCall, StoreReply};
@@ -6,8 +6,8 @@
 /// Calls that a host answers for other hosts. All other messages between hosts are heartbeats.
 #[tarpc::service]
 pub trait FleetService {
-    /// Returns the declarations and targets for which the receiver has a newer version than the requester. It
-    /// only reads, so it may be repeated.
+    /// Returns the declarations and targets of which the receiver has a newer version than the requester. The
+    /// call only reads, so it may be repeated.
     async fn news(request: Encoded<NewsRequest>) -> Encoded<NewsReply>;
     /// Calls the store on behalf of a requester that cannot reach it. A commit is conditional on the versions
     /// of its rows, so a commit that arrives twice takes effect once.
--- a/crates/cuminramp-wire/src/lib.rs
+++ b/crates/cuminramp-wire/src/lib.rs
@@ -10,7 +10,7 @@
 mod fleet_service;
 mod service;
 
-/// Rows of, and messages between, the hosts that share a fleet.
+/// Table rows of gateways, the hosts that share a fleet, and the messages between them.
 #[allow(missing_docs)]
 pub mod fleet {
     include!("generated/cuminramp.fleet.rs");
@@ -22,7 +22,7 @@
     include!("generated/cuminramp.peer.rs");
 }
 
-/// Rows that are stored in the platform's table.
+/// Table rows of daemons.
 #[allow(missing_docs)]
 pub mod rows {
     include!("generated/cuminramp.rows.rs");
--- a/crates/cuminramp-wire/src/service.rs
+++ b/crates/cuminramp-wire/src/service.rs
@@ -14,10 +14,10 @@
 #[tarpc::service]
 pub trait PeerService {
     /// Checks whether the receiver is alive or, if the probe names a target host, whether that host is.
-    /// The reply states what the receiver has in force.
+    /// The reply reports the versions that the receiver has in force.
     async fn probe(request: Encoded<Probe>) -> Encoded<ProbeReply>;
-    /// Returns the changes of the configuration (or a snapshot, if the log of changes does not reach back far
-    /// enough), the withdrawals and the shards that the requester lacks.
+    /// Returns the changes of the configuration, the withdrawals and the shards that the requester lacks. If
+    /// the log of changes does not reach back far enough, returns a snapshot of the configuration instead.
     async fn pull(request: Encoded<PullRequest>) -> Encoded<PullReply>;
     /// Debits tokens of a team from the receiver, which owns the shard, and lends them to the requester for
     /// a short time.
