--- a/crates/cuminramp-replay/src/plan.rs
+++ b/crates/cuminramp-replay/src/plan.rs
@@ -10,9 +10,9 @@
     Waves,
     /// Jobs arrive at six times their usual rate for three seconds.
     JobBurst,
-    /// A third of the targets is lost during a peak and doesn't come back.
+    /// A third of the targets fails permanently during a peak.
     LostTargets,
-    /// A tenth of the targets breaks every connection for six seconds while listed as serving.
+    /// A tenth of the targets breaks every new connection for six seconds while listed as serving.
     FailingTargets,
     /// All hosts lose power for two seconds and restart with empty tables.
     MassLoss,
@@ -67,7 +67,7 @@
     pub jobs_per_s: f64,
     /// Interval at which hosts report their load to the owner of the slots.
     pub report_interval: Duration,
-    /// Whether targets report their load in answers.
+    /// Whether targets report their load with the first event of an answer.
     pub targets_report_load: bool,
     /// Time during which requests and jobs arrive.
     pub length: Duration,
@@ -76,7 +76,7 @@
 }
 
 impl ReplayPlan {
-    /// Returns a plan for 12 hosts and 12 targets under three quarters of their capacity.
+    /// Returns a plan for 12 hosts and 12 targets with a load of three quarters of their capacity.
     ///
     /// ```
     /// use cuminramp_replay::{LoadPattern, ReplayPlan};
--- a/crates/cuminramp-replay/src/report.rs
+++ b/crates/cuminramp-replay/src/report.rs
@@ -12,15 +12,15 @@
     pub in_time: u32,
     /// Requests that were completed, with the first event after the objective.
     pub late: u32,
-    /// Requests that were refused for good: without a retry, or again when retried.
+    /// Requests that were refused and not served afterwards: they were not retried, or refused again.
     pub refused: u32,
     /// Requests that were refused with a retry delay and served when retried.
     pub returned: u32,
-    /// Requests that were lost because a target or host failed.
+    /// Requests that failed because their target or host failed, or that arrived while all hosts were down.
     pub failed: u32,
     /// Sends of requests to targets, including the sends that failed.
     pub sends: u32,
-    /// Sends of requests whose connection the target broke.
+    /// Sends of requests that failed because the target broke the connection.
     pub broken_sends: u32,
     /// Sends of requests and items that a target refused because its queue was full.
     pub refused_sends: u32,
@@ -34,8 +34,8 @@
     pub cut_runs: u32,
     /// Slot time that led to a result or to progress of an item, in seconds.
     pub slot_s_used: f64,
-    /// Slot time of runs that were lost or had to be repeated, in seconds.
+    /// Slot time of runs that failed or whose result no host received, in seconds.
     pub slot_s_wasted: f64,
-    /// Most runs that one target started, divided by the mean of all targets.
+    /// Maximum number of runs that one target started, divided by the mean over all targets.
     pub busiest_over_mean: f64,
 }
--- a/crates/cuminramp-replay/src/target.rs
+++ b/crates/cuminramp-replay/src/target.rs
@@ -13,20 +13,20 @@
 pub(crate) struct Run {
     /// Index of the attempt among those of the replay.
     pub(crate) attempt: usize,
-    /// Time at which the target started it; `None` while it is queued.
+    /// Time at which the target started the attempt; `None` while it is queued.
     pub(crate) started_at: Option<Instant>,
-    /// Time for which it occupies a slot.
+    /// Time for which the attempt occupies a slot.
     pub(crate) duration: Duration,
 }
 
-/// How a target behaves.
+/// How a target handles connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum TargetHealth {
     /// Serves requests.
     Healthy,
     /// Breaks every new connection.
     Failing,
-    /// Is gone for good.
+    /// Has failed permanently; hosts no longer list it.
     Lost,
 }
 
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(crate) struct EmulatedTarget {
     pub(crate) health: TargetHealth,
-    /// Runs started so far.
+    /// Number of runs started so far.
     pub(crate) started: u32,
     slots: usize,
     running: Vec<Run>,
--- a/crates/cuminramp-replay/src/tests.rs
+++ b/crates/cuminramp-replay/src/tests.rs
@@ -30,7 +30,7 @@
 }
 
 /// Jobs arrive at six times the usual rate for three seconds, as at the end of a working day. The fleet
-/// has the capacity to complete all of them in time if every host runs the items due first first.
+/// has the capacity to complete all of them in time if every host runs items in the order of their due times.
 #[test_case(1; "seed 1")]
 #[test_case(2; "seed 2")]
 #[test_case(3; "seed 3")]
@@ -43,8 +43,8 @@
     assert!(share(report.in_time, report.requests) >= 0.95, "{report:?}");
 }
 
-/// A tenth of the targets breaks every connection for six seconds. Requests that may run only once fail
-/// with the send, so at most three in a hundred sends may break.
+/// A tenth of the targets breaks every new connection for six seconds. Requests that may run only once fail
+/// with such a send, so at most three in a hundred sends may break.
 #[test_case(1; "seed 1")]
 #[test_case(2; "seed 2")]
 #[test_case(3; "seed 3")]
@@ -62,9 +62,9 @@
     assert!(share(report.broken_sends, report.sends) <= 0.03, "{report:?}");
 }
 
-/// Hosts report their load only five times a second. Between two reports all of them see the same targets
-/// as the least loaded; if all sent there, requests would queue at these while other targets idle. At most
-/// one request in twenty may get its first event late.
+/// Hosts report their load only five times a second. Between two reports the same targets appear least loaded
+/// to all of them; if all sent there, requests would queue at these while other targets idle. At most one
+/// request in twenty may get its first event late.
 #[test_case(1; "seed 1")]
 #[test_case(2; "seed 2")]
 #[test_case(3; "seed 3")]
--- a/crates/cuminramp-replay/src/world.rs
+++ b/crates/cuminramp-replay/src/world.rs
@@ -24,7 +24,8 @@
 /// Time from the start at which the fault begins, during a peak.
 const FAULT_AT: Duration = Duration::from_millis(10_200);
 /// Interval between checkpoints of the progress of items. Hosts that restart after a power loss resume
-/// from progress that is at most this old if the report interval divides it.
+/// from progress that is at most this old. Checkpoints are saved with reports only, so they are less
+/// frequent if this is not a multiple of the report interval.
 const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(1_100);
 const POOL: &str = "pool";
 const ZONE: &str = "z";
@@ -36,8 +37,17 @@
 /// What an attempt runs: a request of a caller or an item of a job.
 #[derive(Clone, Debug)]
 enum AttemptKind {
-    Request { arrived_at: Instant, may_retry: bool },
-    Item { job: Name, index: usize, due: Instant, ran: Duration },
+    Request {
+        arrived_at: Instant,
+        may_retry: bool,
+    },
+    Item {
+        job: Name,
+        index: usize,
+        due: Instant,
+        /// Run time of earlier attempts that this one continues.
+        earlier_run_time: Duration,
+    },
 }
 
 /// One send of a request or an item from a host to a target.
@@ -56,9 +66,9 @@
     id: HostId,
     placement: PlacementTable,
     jobs: JobTable,
-    /// Last grant that it received.
+    /// Number of the last grant that the host received.
     acknowledged_grant: u64,
-    /// Number of its last report.
+    /// Number of the host's last report.
     reports: u64,
 }
 
@@ -66,7 +76,7 @@
 struct EmulatedOwner {
     placement: PlacementTable,
     ledger: SlotLedger,
-    /// Number of the last slot request, unique among those of all hosts.
+    /// Number of the last slot request; the requests of all hosts are numbered together.
     requests: u64,
 }
 
@@ -81,7 +91,7 @@
     targets: Vec<EmulatedTarget>,
     /// All attempts so far; their indexes identify them at targets.
     attempts: Vec<Attempt>,
-    /// Requests to be retried: time of the retry, time of the first arrival.
+    /// Requests to be retried: time of the retry, and time of the first arrival.
     retries: Vec<(Instant, Instant)>,
     jobs: Vec<JobSpec>,
     /// Completed items: job, index of the item.
@@ -89,7 +99,7 @@
     /// Last checkpoint of each item: job, index of the item, progress.
     checkpoints: Vec<(Name, usize, ItemProgress)>,
     next_report: Instant,
-    /// Whether all hosts are without power.
+    /// Whether all hosts are down.
     hosts_are_down: bool,
     report: ReplayReport,
 }
@@ -197,7 +207,7 @@
         self.now - self.start
     }
 
-    /// Returns whether the time `at` from the start falls into this step.
+    /// Returns whether the time `at`, counted from the start, falls into this step.
     fn is_at(&self, at: Duration) -> bool {
         self.elapsed() >= at && self.elapsed() < at + STEP
     }
@@ -223,12 +233,13 @@
         }
     }
 
-    fn ran(&self, attempt: usize) -> Duration {
+    /// Returns the time for which an attempt has run so far; zero while it is queued.
+    fn run_time(&self, attempt: usize) -> Duration {
         self.attempts[attempt].started_at.map_or(Duration::ZERO, |started_at| self.now - started_at)
     }
 
     fn complete_attempt(&mut self, attempt: usize) {
-        let ran = self.ran(attempt);
+        let ran = self.run_time(attempt);
         let done = self.attempts[attempt].clone();
         if !done.is_wanted {
             self.report.slot_s_wasted += ran.as_secs_f64();
@@ -247,9 +258,9 @@
                 self.report.late += u32::from(!is_in_time);
                 self.report.returned += u32::from(!may_retry);
             }
-            AttemptKind::Item { job, index, due, ran: before } => {
+            AttemptKind::Item { job, index, due, earlier_run_time: earlier } => {
                 host.placement.end(&done.target, WorkKind::Batch);
-                let progress = ItemProgress { run_time: *before + ran, ..ItemProgress::default() };
+                let progress = ItemProgress { run_time: *earlier + ran, ..ItemProgress::default() };
                 host.jobs.complete(job, *index, progress, self.now);
                 self.finished.push((job.clone(), *index));
                 self.report.items_in_time += u32::from(self.now <= *due);
@@ -264,35 +275,36 @@
         if !std::mem::take(&mut self.attempts[attempt].is_wanted) {
             return;
         }
-        self.report.slot_s_wasted += self.ran(attempt).as_secs_f64();
+        self.report.slot_s_wasted += self.run_time(attempt).as_secs_f64();
         let host = &mut self.hosts[failed.host];
         match &failed.kind {
             AttemptKind::Request { .. } => {
                 host.placement.end(&failed.target, WorkKind::Online);
                 self.report.failed += 1;
             }
-            AttemptKind::Item { job, index, ran, .. } => {
+            AttemptKind::Item { job, index, earlier_run_time, .. } => {
                 host.placement.end(&failed.target, WorkKind::Batch);
-                let progress = progress_of(*ran);
+                let progress = progress_of(*earlier_run_time);
                 host.jobs.fail(job, *index, ItemFailure::Crashed, progress, self.now);
             }
         }
     }
 
-    /// Preempts an item; its progress stays.
+    /// Preempts an item and records its progress.
     fn preempt_item(&mut self, attempt: usize) {
         let preempted = self.attempts[attempt].clone();
-        let AttemptKind::Item { job, index, ran: before, .. } = &preempted.kind else {
+        let AttemptKind::Item { job, index, earlier_run_time: earlier, .. } = &preempted.kind
+        else {
             return;
         };
-        let ran = self.ran(attempt);
+        let ran = self.run_time(attempt);
         self.report.cut_runs += 1;
         self.targets[target_index(&preempted.target)].cancel(attempt);
         self.attempts[attempt].is_wanted = false;
         self.report.slot_s_used += ran.as_secs_f64();
         let host = &mut self.hosts[preempted.host];
         host.placement.end(&preempted.target, WorkKind::Batch);
-        let progress = progress_of(*before + ran);
+        let progress = progress_of(*earlier + ran);
         host.jobs.fail(job, *index, ItemFailure::Preempted, progress, self.now);
     }
 
@@ -306,10 +318,10 @@
         for attempt in
             on_targets.map(|index| &self.attempts[index]).filter(|attempt| attempt.is_wanted)
         {
-            if let AttemptKind::Item { job, index, ran, .. } = &attempt.kind {
+            if let AttemptKind::Item { job, index, earlier_run_time, .. } = &attempt.kind {
                 let current =
                     attempt.started_at.map_or(Duration::ZERO, |started_at| self.now - started_at);
-                checkpoints.push((job.clone(), *index, progress_of(*ran + current)));
+                checkpoints.push((job.clone(), *index, progress_of(*earlier_run_time + current)));
             }
         }
         for (job, index, progress) in checkpoints {
@@ -325,9 +337,9 @@
             return;
         };
         let duration = Duration::from_millis(start.item.tokens);
-        let ran = start.progress.run_time;
-        let kind = AttemptKind::Item { job: start.job, index: start.index, due, ran };
-        self.send(host, target, kind, duration.saturating_sub(ran).max(STEP));
+        let earlier_run_time = start.progress.run_time;
+        let kind = AttemptKind::Item { job: start.job, index: start.index, due, earlier_run_time };
+        self.send(host, target, kind, duration.saturating_sub(earlier_run_time).max(STEP));
     }
 
     /// Sends an attempt; returns `false` if the target's queue was full.
@@ -368,9 +380,15 @@
         host.placement.record_full(&refused.target, self.now);
         match &refused.kind {
             AttemptKind::Request { .. } => host.placement.end(&refused.target, WorkKind::Online),
-            AttemptKind::Item { job, index, ran, .. } => {
+            AttemptKind::Item { job, index, earlier_run_time, .. } => {
                 host.placement.end(&refused.target, WorkKind::Batch);
-                host.jobs.fail(job, *index, ItemFailure::Preempted, progress_of(*ran), self.now);
+                host.jobs.fail(
+                    job,
+                    *index,
+                    ItemFailure::Preempted,
+                    progress_of(*earlier_run_time),
+                    self.now,
+                );
             }
         }
     }
--- a/crates/cuminramp-replay/src/world/arrivals.rs
+++ b/crates/cuminramp-replay/src/world/arrivals.rs
@@ -14,9 +14,9 @@
 const REQUEST_RUN: Duration = Duration::from_millis(750);
 /// Mean time for which an item occupies a slot.
 const ITEM_RUN: Duration = Duration::from_millis(4_700);
-/// Fraction by which run times vary around their mean, up and down.
+/// Maximum fraction by which run times differ from their mean.
 const JITTER: f64 = 0.4;
-/// Items of a job.
+/// Number of items in a job.
 const ITEMS: usize = 10;
 /// Time from its arrival at which a job is due.
 const DUE_DELAY: Duration = Duration::from_secs(18);
@@ -97,7 +97,8 @@
         mean.mul_f64(1.0 + JITTER * (2.0 * self.random.unit_interval() - 1.0))
     }
 
-    /// Places a request through a random host, and schedules a retry if the fleet is full.
+    /// Places a request through a random host, and schedules a retry if the fleet is full and `may_retry` is
+    /// set.
     fn place_request(&mut self, arrived_at: Instant, may_retry: bool) {
         if self.hosts_are_down {
             self.report.failed += 1;
@@ -125,8 +126,8 @@
                     }
                     tried.push(target.id);
                 }
-                PlacementDecision::Full(delay) if may_retry => {
-                    self.retries.push((self.now + delay, arrived_at));
+                PlacementDecision::Full(retry_after) if may_retry => {
+                    self.retries.push((self.now + retry_after, arrived_at));
                     return;
                 }
                 PlacementDecision::Full(_) | PlacementDecision::NoTarget => break,
--- a/crates/cuminramp-replay/src/world/faults.rs
+++ b/crates/cuminramp-replay/src/world/faults.rs
@@ -9,7 +9,7 @@
 use crate::plan::LoadPattern;
 use crate::target::TargetHealth;
 
-/// Time for which targets break connections.
+/// Time for which failing targets break every new connection.
 const TARGET_FAILURE_TIME: Duration = Duration::from_secs(6);
 /// Time for which hosts are without power in a mass loss.
 const MASS_LOSS_TIME: Duration = Duration::from_secs(2);
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Restarts all hosts with empty tables and adds the jobs with their finished items and the
-    /// checkpoints of the others.
+    /// Restarts all hosts with empty tables, and adds each job at a random host with its completed items and
+    /// the checkpoints of the others.
     fn start_hosts(&mut self) {
         self.hosts_are_down = false;
         let plan = self.plan;
--- a/crates/cuminramp-replay/src/world/slots.rs
+++ b/crates/cuminramp-replay/src/world/slots.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Requests a slot from the owner for a request, as a host does.
+    /// Searches for a slot for a request, with the same slot requests as a gateway.
     pub(super) fn find_slot(
         &mut self,
         host: usize,
@@ -80,7 +80,7 @@
                     }
                     search.receive(outcome);
                 }
-                SearchStep::Refuse(after) => return PlacementDecision::Full(after),
+                SearchStep::Refuse(retry_after) => return PlacementDecision::Full(retry_after),
                 SearchStep::NoTarget => {
                     let placement = &self.hosts[host].placement;
                     return placement.place(request, &ColdShare::Owner, &mut self.random, self.now);
@@ -117,7 +117,8 @@
         response.outcome
     }
 
-    /// Preempts items on targets that have more requests and items than slots, those due last first.
+    /// Preempts items on targets that have more requests and items than slots, in descending order of the
+    /// items' due times.
     fn preempt_items(&mut self) {
         let now = self.now;
         let limits = self.owner.ledger.item_limits(&self.owner.placement, &group(), now);
