--- a/crates/cuminramp-standin/src/engine.rs
+++ b/crates/cuminramp-standin/src/engine.rs
@@ -21,11 +21,12 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct EngineSettings {
-    /// Name of the model that it serves.
+    /// Name of the model that the engine serves.
     pub model: String,
-    /// Maximum number of sequences that run concurrently.
+    /// Maximum number of sequences (requests that generate tokens) that run concurrently.
     pub slots: usize,
-    /// Base duration of a step, in microseconds.
+    /// Base duration of a step, which generates at most one token for each running sequence, in
+    /// microseconds.
     pub step_base_us: u64,
     /// Additional duration of a step for each running sequence, in microseconds.
     pub step_sequence_us: u64,
@@ -41,7 +42,7 @@
     pub restart_ms: u64,
     /// Text that crashes the engine when a prompt contains it; if empty, no prompt does.
     pub crash_marker: String,
-    /// Whether it rejects a command with a stale fencing number.
+    /// Whether the engine rejects a command whose fencing number is lower than that of an earlier one.
     pub checks_fencing: bool,
 }
 
@@ -66,9 +67,9 @@
 /// Injected faults of an engine, and the fencing state of its commands.
 #[derive(Debug, Default)]
 pub(crate) struct EngineControl {
-    /// Whether it accepts connections but sends no response.
+    /// Whether the engine accepts connections but sends no response.
     pub(crate) unresponsive: AtomicBool,
-    /// Whether it rejects each chat completion with status 500 before running it.
+    /// Whether the engine rejects each chat completion with status 500 before running it.
     pub(crate) failing: AtomicBool,
     /// Highest fencing number of all commands received.
     pub(crate) fence: AtomicU64,
@@ -114,7 +115,7 @@
         Ok(Engine { address, shared, stop })
     }
 
-    /// Returns the address on which it listens.
+    /// Returns the address on which the engine listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -124,7 +125,7 @@
         self.shared.crash.notify_one();
     }
 
-    /// Sets whether it accepts connections but sends no response.
+    /// Sets whether the engine accepts connections but sends no response.
     pub fn set_unresponsive(&self, unresponsive: bool) {
         self.shared.control.unresponsive.store(unresponsive, Ordering::Relaxed);
     }
@@ -139,7 +140,7 @@
         self.shared.core.stats()
     }
 
-    /// Returns its load report, delayed by `report_lag_ms`.
+    /// Returns the engine's load report, delayed by `report_lag_ms`.
     pub fn delayed_report(&self) -> crate::LoadReport {
         self.shared.core.delayed_report()
     }
--- a/crates/cuminramp-standin/src/engine_core.rs
+++ b/crates/cuminramp-standin/src/engine_core.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct LoadReport {
-    /// Number of sequences that are part of each step.
+    /// Number of running sequences.
     pub running: u32,
     /// Number of sequences that wait for a free slot.
     pub waiting: u32,
@@ -41,7 +41,7 @@
     pub cancelled: u64,
     /// Number of crashes.
     pub crashes: u64,
-    /// Milliseconds in which at least one sequence ran, weighted by the fraction of slots in use.
+    /// Time in which at least one sequence ran, weighted by the fraction of slots in use, in milliseconds.
     pub busy_slot_ms: u64,
     /// Requests whose prefix was in the cache.
     pub prefix_hits: u64,
--- a/crates/cuminramp-standin/src/engine_http.rs
+++ b/crates/cuminramp-standin/src/engine_http.rs
@@ -221,7 +221,7 @@
     Json(shared.core.runs()).into_response()
 }
 
-/// Handles calls to the generic service: echoes the call and counts how often the same call arrived.
+/// Handles calls to the generic service: returns the call and how often the same call has run.
 async fn echo_call(State(shared): Shared, request: Request) -> Response {
     hang_if_unresponsive(&shared).await;
     let (head, body) = request.into_parts();
--- a/crates/cuminramp-standin/src/faulty_link.rs
+++ b/crates/cuminramp-standin/src/faulty_link.rs
@@ -28,9 +28,9 @@
 
 /// TCP relay in front of one server.
 ///
-/// The current mode applies to all connections. [`FaultyLink::freeze_open_connections`] simulates a middlebox that
-/// loses the state of its connections: open connections stay open but transfer nothing more, while
-/// new ones work.
+/// The current mode applies to all connections. [`FaultyLink::freeze_open_connections`] simulates a
+/// middlebox that loses the state of its connections: open connections stay open but transfer nothing
+/// more, while new ones work.
 #[derive(Debug)]
 pub struct FaultyLink {
     address: SocketAddr,
@@ -74,7 +74,7 @@
         self.mode.send_replace(mode);
     }
 
-    /// Freezes all connections that are currently open: they stay open but forward no further data.
+    /// Freezes all connections that are currently open: they stay open but transfer nothing more.
     pub fn freeze_open_connections(&self) {
         self.freeze_count.send_modify(|count| *count += 1);
     }
@@ -97,12 +97,12 @@
         let Some(server) = *servers.borrow() else { continue };
         let (modes, freezes, stop) = (modes.clone(), freezes.clone(), stop.clone());
         tokio::spawn(async move {
-            let Ok(target) = TcpStream::connect(server).await else {
+            let Ok(server_stream) = TcpStream::connect(server).await else {
                 return;
             };
             let freezes_at_open = *freezes.borrow();
             let (caller_read, caller_write) = caller.into_split();
-            let (target_read, target_write) = target.into_split();
+            let (server_read, server_write) = server_stream.into_split();
             let forward = RelayDirection {
                 modes: modes.clone(),
                 freezes: freezes.clone(),
@@ -111,8 +111,8 @@
             };
             let backward = RelayDirection { modes, freezes, freezes_at_open, to_server: false };
             tokio::select! {
-                () = forward.run(caller_read, target_write) => {}
-                () = backward.run(target_read, caller_write) => {}
+                () = forward.run(caller_read, server_write) => {}
+                () = backward.run(server_read, caller_write) => {}
                 () = stop.cancelled() => {}
             }
         });
--- a/crates/cuminramp-standin/src/lib.rs
+++ b/crates/cuminramp-standin/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for the platform and for inference engines, with fault injection.
 //!
 //! They run inside a daemon for the quickstart, inside tests, and as separate processes. Their
-//! behavior is deliberately simple; faults are configurable, and random faults follow a fixed seed.
+//! behavior is deliberately simple; faults are configurable, and random faults are drawn from a seed.
 
 mod engine;
 mod engine_core;
--- a/crates/cuminramp-standin/src/memory_platform.rs
+++ b/crates/cuminramp-standin/src/memory_platform.rs
@@ -18,14 +18,14 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct PlatformSettings {
-    /// Delay until a change to the hosts appears in the host list, in milliseconds.
+    /// Delay until a change of the hosts appears in the host list, in milliseconds.
     pub list_lag_ms: u64,
     /// Time for which a host stays listed after its last announcement, in milliseconds, in addition to
     /// `list_lag_ms`.
     pub host_ttl_ms: u64,
-    /// Maximum rate of transactions, per second; the table rejects transactions above it.
+    /// Maximum number of transactions per second; the table rejects further ones.
     pub writes_per_second: f64,
-    /// Maximum rate of reads and scans, per second; the table rejects reads above it.
+    /// Maximum number of reads and scans per second; the table rejects further ones.
     pub reads_per_second: f64,
     /// Seed of the random faults.
     pub seed: u64,
@@ -89,6 +89,7 @@
 pub struct MemoryPlatform {
     settings: PlatformSettings,
     state: Mutex<PlatformState>,
+    /// Version of the last commit; wakes waiting watches.
     committed: watch::Sender<Version>,
 }
 
