--- a/crates/cuminramp-cli/src/bench/caller.rs
+++ b/crates/cuminramp-cli/src/bench/caller.rs
@@ -12,7 +12,7 @@
 
 /// Timeout after which a call without a response head fails; reading a body may take as long again.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
-/// Maximum size of a response body in bytes; larger ones fail the call.
+/// Maximum size of a response body in bytes; with a larger one, the call fails.
 const MAX_RESPONSE_BYTES: usize = 512 << 20;
 /// Event that ends a complete stream.
 const DONE_EVENT: &[u8] = b"data: [DONE]";
@@ -46,7 +46,7 @@
     ConnectionFailed,
 }
 
-/// Caller with an API key that distributes its calls over hosts by call number.
+/// Caller with an API key that distributes its calls over the hosts by the number of the call.
 pub(crate) struct BenchCaller {
     hosts: Vec<BenchHost>,
     key: String,
@@ -84,7 +84,8 @@
         self.send_with(number, builder, path, body).await
     }
 
-    /// Adds address, API key and body to the request and sends it to the host of the call number.
+    /// Adds address, API key and body to the request, and sends it to the host at index `number` modulo the
+    /// number of hosts.
     async fn send_with(
         &self,
         number: usize,
--- a/crates/cuminramp-cli/src/bench/control.rs
+++ b/crates/cuminramp-cli/src/bench/control.rs
@@ -73,7 +73,7 @@
     };
     let unreadable = || CommandError::Failed(format!("process {pid} can't be read"));
     let stat = read("stat")?;
-    // The program name, in parentheses, may contain spaces, so fields are counted from behind the last `)`.
+    // The program name, in parentheses, may contain spaces, so fields are counted after the last `)`.
     let fields: Vec<&str> = stat
         .rsplit_once(')')
         .map(|(_, rest)| rest.split_whitespace().collect())
--- a/crates/cuminramp-cli/src/bench/once.rs
+++ b/crates/cuminramp-cli/src/bench/once.rs
@@ -18,10 +18,10 @@
 const DEFAULT_CALLS: usize = 1_000;
 /// Calls per second if `--rate` is not given.
 const DEFAULT_RATE: f64 = 200.0;
-/// Maximum number of times that a call is sent.
+/// Maximum number of attempts of a call.
 const MAX_ATTEMPTS: usize = 8;
-/// Interval between attempts.
-const RETRY_INTERVAL: Duration = Duration::from_millis(700);
+/// Delay before the next attempt of a call.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 /// Path of the service that is called.
 const SERVICE_PATH: &str = "/bookings/confirm";
 
@@ -90,7 +90,7 @@
                 outcome = if all_not_run { CallOutcome::NotRun } else { CallOutcome::Unknown };
             }
         }
-        tokio::time::sleep(RETRY_INTERVAL).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     outcome
 }
--- a/crates/cuminramp-cli/src/bench/quota.rs
+++ b/crates/cuminramp-cli/src/bench/quota.rs
@@ -20,7 +20,7 @@
 /// Number of `ResultCode::RateExceeded`.
 const RATE_EXCEEDED_CODE: u64 = 1200;
 
-/// Admitted request. It was admitted at an unknown time between these two.
+/// Admitted request. The time of its admission is unknown, but lies between `sent` and `answered`.
 #[derive(Clone, Copy)]
 struct AdmittedCall {
     /// Seconds from the start of the run until the request was sent.
@@ -93,8 +93,8 @@
     }
 }
 
-/// Returns the largest number of requests, over all windows of time, that were certainly admitted above
-/// burst and rate.
+/// Returns the maximum, over all windows of time, of the number of requests that were certainly admitted
+/// above burst and rate.
 ///
 /// A request counts towards a window only if it was sent after the window's start and answered before
 /// its end, so the time that calls take can't cause an apparent excess.
--- a/crates/cuminramp-cli/src/bench/record.rs
+++ b/crates/cuminramp-cli/src/bench/record.rs
@@ -9,9 +9,9 @@
 
 use crate::connection::CommandError;
 
-/// Maximum recorded time in microseconds; longer ones are recorded as this.
+/// Maximum recorded time in microseconds; longer times are recorded as this one.
 const MAX_MICROS: u64 = 120_000_000;
-/// Significant decimal digits that are recorded of each time.
+/// Number of significant decimal digits that are recorded of each time.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Creates a histogram of times in microseconds.
--- a/crates/cuminramp-cli/src/bench/replay.rs
+++ b/crates/cuminramp-cli/src/bench/replay.rs
@@ -9,7 +9,7 @@
 use crate::connection::CommandError;
 use crate::flags::Replay;
 
-/// Maximum number of hosts; a replay with more takes minutes.
+/// Maximum number of hosts; a replay of more hosts would run for minutes.
 const MAX_HOSTS: usize = 1_000;
 
 /// Replays one plan and records its report.
--- a/crates/cuminramp-cli/src/bench/throughput.rs
+++ b/crates/cuminramp-cli/src/bench/throughput.rs
@@ -19,7 +19,8 @@
 const DEFAULT_SECONDS: u64 = 4;
 /// Maximum duration of a turn in seconds.
 const MAX_SECONDS: u64 = 15;
-/// Turns of each side. The sides alternate, so that both are measured under the same load of the machine.
+/// Number of turns of each side. The sides alternate, so that both are measured under the same load of the
+/// machine.
 const TURNS: usize = 2;
 
 /// Totals of one side, through the daemons or to the engine directly, over its turns.
--- a/crates/cuminramp-cli/src/cmd/apply.rs
+++ b/crates/cuminramp-cli/src/cmd/apply.rs
@@ -50,7 +50,8 @@
     println!("generation {}{}", response["generation"], if applied { "" } else { " (unchanged)" });
 }
 
-/// Waits until every host reports `generation` or a later one; after `timeout` fails and names the others.
+/// Waits until every host reports `generation` or a later one. After `timeout`, fails and names the hosts
+/// that don't.
 async fn await_generation(
     operator: &OperatorClient,
     generation: u64,
--- a/crates/cuminramp-cli/src/cmd/mod.rs
+++ b/crates/cuminramp-cli/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! Subcommands: one module each, but for the read-only ones, which share [`views`].
+//! Subcommands: one module each, except the read-only ones, most of which share [`views`].
 
 mod apply;
 mod cancel;
--- a/crates/cuminramp-cli/src/connection.rs
+++ b/crates/cuminramp-cli/src/connection.rs
@@ -13,7 +13,7 @@
 
 /// Timeout after which a call without a response head fails; reading the body may take as long again.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Maximum size of a response body in bytes; larger ones fail the call.
+/// Maximum size of a response body in bytes; with a larger one, the call fails.
 const MAX_RESPONSE_BYTES: usize = 256 << 20;
 /// Operator address used if none is given.
 const DEFAULT_OPERATOR_ADDRESS: &str = "127.0.0.1:8081";
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Gets `path` and returns its JSON body.
+    /// Sends a GET request for `path` and returns the JSON body of the response.
     pub(crate) async fn get(&self, path: &str) -> Result<Value, CommandError> {
         self.send(Method::GET, path, Bytes::new()).await
     }
 
-    /// Gets `path` and returns its body as text, whatever the status.
+    /// Sends a GET request for `path` and returns the body of the response as text, whatever its status.
     pub(crate) async fn get_text(&self, path: &str) -> Result<String, CommandError> {
         let response = self.exchange(Method::GET, path, Bytes::new()).await?;
         Ok(String::from_utf8_lossy(&response.body).into_owned())
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Sends a request and returns its response, whatever the status.
+    /// Sends a request and returns the response, whatever its status.
     async fn exchange(
         &self,
         method: Method,
