--- a/tests/testsuite/tests/testsuite/batch.rs
+++ b/tests/testsuite/tests/testsuite/batch.rs
@@ -37,8 +37,8 @@
     assert_eq!(codes, [("line-41", 1008), ("odd", 1004)]);
 }
 
-// A host is killed while it runs a job, with leases and with finished items that it has yet to commit.
-// The job could stall, or items could get two results.
+// A host is killed while it runs a job, holds leases of its chunks and has completed items that are not
+// committed. The job could stall, or items could get two results.
 #[test]
 fn a_job_completes_after_its_host_is_killed() {
     let mut fleet = Fleet::start(3);
--- a/tests/testsuite/tests/testsuite/connections.rs
+++ b/tests/testsuite/tests/testsuite/connections.rs
@@ -39,12 +39,12 @@
     let mut fleet = Fleet::start(2);
     let link = fleet.open_link();
     let host = fleet.add_host_behind(&link);
-    fleet.wait("all see three alive", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
+    fleet.wait("all list three alive", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
 
     link.freeze_open_connections();
     std::thread::sleep(Duration::from_millis(500));
 
-    fleet.wait("every host sees three alive again", |fleet| {
+    fleet.wait("every host lists three alive again", |fleet| {
         (0..3).all(|host| fleet.live_hosts(host) == 3)
     });
     assert!(fleet.chat(host, "hall", 4, true).streamed().1);
@@ -57,11 +57,11 @@
     let mut fleet = Fleet::start(2);
     let link = fleet.open_link();
     fleet.add_host_behind(&link);
-    fleet.wait("all see three alive", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
+    fleet.wait("all list three alive", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
 
     link.set_mode(LinkMode::BlockToServer);
-    fleet.wait("the others see two alive", |fleet| (0..2).all(|host| fleet.live_hosts(host) == 2));
+    fleet.wait("others list two as alive", |fleet| (0..2).all(|host| fleet.live_hosts(host) == 2));
     link.set_mode(LinkMode::Open);
 
-    fleet.wait("all see three alive", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
+    fleet.wait("all list three alive", |fleet| (0..3).all(|host| fleet.live_hosts(host) == 3));
 }
--- a/tests/testsuite/tests/testsuite/main.rs
+++ b/tests/testsuite/tests/testsuite/main.rs
@@ -1,6 +1,6 @@
 //! Tests of the whole system over its real network interfaces: daemons on loopback, a shared stand-in
 //! of the platform, and stand-ins of engines. Each daemon has a runtime of its own, so that a test can
-//! stop it abruptly, as a kill does.
+//! stop it abruptly, like a killed process.
 
 mod support;
 
--- a/tests/testsuite/tests/testsuite/quota.rs
+++ b/tests/testsuite/tests/testsuite/quota.rs
@@ -9,7 +9,7 @@
 
 const RATE: f64 = 20.0;
 const BURST: f64 = 30.0;
-/// Timeout of the flood of requests; a healthy run needs a small part of it.
+/// Timeout of the flood of requests; a run that succeeds needs a small part of it.
 const FLOOD_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn fleet(hosts: usize) -> Fleet {
@@ -42,8 +42,8 @@
     admitted
 }
 
-/// Returns the maximum number of requests admitted since `started`; one of them allows for the rounding
-/// of the clock.
+/// Returns the number of requests that may have been admitted since `started`, plus one for the rounding of
+/// the clock.
 fn max_admitted(started: Instant) -> usize {
     (BURST + RATE * started.elapsed().as_secs_f64()) as usize + 1
 }
@@ -96,8 +96,8 @@
     assert!(admitted <= max_admitted(started), "{admitted} admitted");
 }
 
-// All hosts start at once, as after a power cut, and callers return before the shards of the rate are
-// claimed. If the answer were that they exceed their rate, they would look for an error on their side.
+// All hosts start at once, as after a power loss, and callers send requests before the shards of the rate are
+// claimed. If these were refused for exceeding the rate, callers would look for an error on their side.
 #[test]
 fn requests_before_shards_are_claimed_get_a_distinct_error() {
     let fleet = Fleet::start_unready();
--- a/tests/testsuite/tests/testsuite/services.rs
+++ b/tests/testsuite/tests/testsuite/services.rs
@@ -96,7 +96,7 @@
 }
 
 // The answers to all writes are lost after the writes took effect. A host that mistook its own start mark
-// for another host's would refuse the booking forever; one that ignored start marks could run it twice.
+// for that of another host would refuse the booking forever; one that ignored start marks could run it twice.
 #[test]
 fn a_booking_runs_once_if_the_answer_to_its_start_mark_is_lost() {
     let fleet = Fleet::start(2);
--- a/tests/testsuite/tests/testsuite/support.rs
+++ b/tests/testsuite/tests/testsuite/support.rs
@@ -21,11 +21,11 @@
 /// Team whose key most tests use.
 pub(crate) const TEAM: &str = "parish-desk";
 
-/// Timeout of each wait in a test; a healthy run needs a small part of it.
+/// Timeout of each wait in a test; a wait that succeeds needs a small part of it.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
-/// Pause between two checks of a condition.
+/// Interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Timeout of a call for the connection, for the first byte and for the body.
+/// Timeout of a call for connecting, for the response head and for the body, each by itself.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Maximum size of a response's body.
 const MAX_BODY_BYTES: usize = 64 << 20;
@@ -180,7 +180,7 @@
         for _ in 0..plan.hosts {
             fleet.add_host();
         }
-        fleet.wait("every host sees all hosts alive", |fleet| {
+        fleet.wait("every host lists all hosts as alive", |fleet| {
             (0..fleet.hosts.len()).all(|host| fleet.live_hosts(host) == fleet.hosts.len())
         });
         fleet.declare(&fleet.declarations(plan.rate, plan.burst));
@@ -201,19 +201,19 @@
             }
             (platform, engines)
         });
-        let limits = CallTimeouts { connect: CALL_TIMEOUT, response_head: CALL_TIMEOUT };
+        let timeouts = CallTimeouts { connect: CALL_TIMEOUT, response_head: CALL_TIMEOUT };
         Fleet {
             runtime,
             platform,
             hosts: Vec::new(),
             engines,
             key: String::new(),
-            client: HttpClient::new(limits),
+            client: HttpClient::new(timeouts),
         }
     }
 
-    /// Starts one host with a key in force that claims no shards during a test: a new host first waits for
-    /// some reads of the host list, and this one reads it only every ten minutes.
+    /// Starts one host that has a key in force and claims no shards during a test: a new host claims shards
+    /// only after some reads of the host list, and this one reads it only every ten minutes.
     pub(crate) fn start_unready() -> Self {
         let plan = FleetPlan { hosts: 0, ..FleetPlan::default() };
         let mut fleet = Self::start_stand_ins(&plan);
@@ -232,7 +232,7 @@
         self.add_host_with(settings)
     }
 
-    /// Starts one more host with these settings and returns its index.
+    /// Starts one more host with `settings` and returns its index.
     pub(crate) fn add_host_with(&mut self, settings: DaemonSettings) -> usize {
         let runtime = new_runtime();
         let platform = self.platform.clone();
@@ -247,7 +247,7 @@
         self.hosts.len() - 1
     }
 
-    /// Returns declarations of the fleet's engines, with this rate and burst for the team.
+    /// Returns declarations of the fleet's engines, with `rate` and `burst` for [`TEAM`].
     pub(crate) fn declarations(&self, rate: f64, burst: f64) -> Value {
         let targets: Vec<Value> = self
             .engines
@@ -279,7 +279,7 @@
         self.runtime.block_on(FaultyLink::open()).unwrap()
     }
 
-    /// Starts one more host, which other hosts reach through the link.
+    /// Starts one more host, which other hosts reach through `link`.
     pub(crate) fn add_host_behind(&mut self, link: &FaultyLink) -> usize {
         let settings = test_settings(self.hosts.len() % 3);
         let host = self.add_host_with(DaemonSettings {
@@ -315,7 +315,7 @@
         self.call_as(host, key, Method::GET, "/v1/models", "", &[])
     }
 
-    /// Returns the number of hosts that a host sees as alive and would send callers to.
+    /// Returns the number of hosts that a host lists as alive, itself included.
     pub(crate) fn live_hosts(&self, host: usize) -> usize {
         let hosts = self.operator(host, Method::GET, "/operator/hosts", "").json();
         let hosts = hosts["hosts"].as_array().cloned().unwrap_or_default();
