--- a/crates/cuminramp-settings/src/settings.rs
+++ b/crates/cuminramp-settings/src/settings.rs
@@ -53,7 +53,7 @@
     pub targets: TargetSettings,
     /// Retries of requests and quarantine of poison requests.
     pub retries: RetrySettings,
-    /// Marks of requests that may not be repeated.
+    /// Start marks: table rows that record that a request that may not be repeated was started.
     pub marks: MarkSettings,
     /// Batch jobs.
     pub batch: BatchSettings,
@@ -445,7 +445,7 @@
     quarantine = quarantine_ms;
 });
 
-/// Marks of requests that may not be repeated.
+/// Start marks: table rows that record that a request that may not be repeated was started.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct MarkSettings {
@@ -454,7 +454,7 @@
     pub group_ms: u64,
     /// Maximum number of marks in one write.
     pub group_size: usize,
-    /// Maximum size, in bytes, of an answer that is kept for a caller that repeats its request.
+    /// Maximum size, in bytes, of an answer that is stored for a caller that repeats its request.
     pub max_kept_bytes: usize,
 }
 
--- a/tests/testsuite/tests/testsuite/support.rs
+++ b/tests/testsuite/tests/testsuite/support.rs
@@ -25,7 +25,7 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Timeout of a call for connecting, for the response head and for the body, each by itself.
+/// Timeout of a call from its start to the response head, and again for the body.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Maximum size of a response's body.
 const MAX_BODY_BYTES: usize = 64 << 20;
