--- a/crates/cuminramp-daemon/src/daemon.rs
+++ b/crates/cuminramp-daemon/src/daemon.rs
@@ -244,7 +244,7 @@
         members: MemberTable::new(me.clone(), member_policy(&settings), now).into(),
         steering: SteeringPlanner {
             max_hosts: settings.steering.homes,
-            ttl: settings.steering.keep(),
+            ttl: settings.steering.ttl(),
         },
         targets: TargetTable::new(target_policy(&settings)).into(),
         silence_signals: SilenceSignals::default(),
@@ -287,7 +287,7 @@
     let peers = &settings.peers;
     MemberPolicy {
         indirect_probes: peers.indirect_probes,
-        suspicion_timeout: peers.suspicion(),
+        suspicion_timeout: peers.suspicion_timeout(),
         list_lag: settings.platform.list_lag(),
         max_updates_per_message: peers.updates_per_probe,
         dead_member_ttl: peers.forget_after(),
@@ -307,7 +307,7 @@
 fn window_policy(settings: &DaemonSettings) -> WindowPolicy {
     WindowPolicy {
         share: settings.batch.window_share,
-        online_cooldown: settings.batch.yield_time(),
+        online_cooldown: settings.batch.online_cooldown(),
         ..WindowPolicy::default()
     }
 }
--- a/crates/cuminramp-gateway/src/entry/calls.rs
+++ b/crates/cuminramp-gateway/src/entry/calls.rs
@@ -236,7 +236,7 @@
             read_results(state, &caller, &job, after, wait).await
         }
         CallerOperation::ReadItem { job, item } => read_item(state, &caller, &job, &item).await,
-        CallerOperation::EndJob { job } => end_job(state, &caller, &job).await,
+        CallerOperation::CancelJob { job } => end_job(state, &caller, &job).await,
         CallerOperation::Request => {
             Err(Refusal::not_run(ResultCode::EndpointUnknown, "not a job call"))
         }
--- a/crates/cuminramp-gateway/src/interfaces.rs
+++ b/crates/cuminramp-gateway/src/interfaces.rs
@@ -69,8 +69,8 @@
         /// The item.
         item: Name,
     },
-    /// Ends a job.
-    EndJob {
+    /// Cancels a job.
+    CancelJob {
         /// The job.
         job: Name,
     },
@@ -81,7 +81,7 @@
     ///
     /// ```
     /// use cuminramp_gateway::CallerOperation;
-    /// let operation = CallerOperation::EndJob { job: "j1".into() };
+    /// let operation = CallerOperation::CancelJob { job: "j1".into() };
     /// assert_eq!(operation.job().map(|job| &**job), Some("j1"));
     /// assert_eq!(CallerOperation::Request.job(), None);
     /// ```
@@ -90,7 +90,7 @@
             CallerOperation::Request => None,
             CallerOperation::ReadResults { job, .. }
             | CallerOperation::ReadItem { job, .. }
-            | CallerOperation::EndJob { job } => Some(job),
+            | CallerOperation::CancelJob { job } => Some(job),
         }
     }
 }
--- a/crates/cuminramp-settings/src/settings.rs
+++ b/crates/cuminramp-settings/src/settings.rs
@@ -210,7 +210,7 @@
     /// Timeout of a probe.
     probe_timeout = probe_timeout_ms;
     /// Time in which a suspect member must show that it is alive.
-    suspicion = suspicion_ms;
+    suspicion_timeout = suspicion_ms;
     /// Timeout of calls other than probes.
     call_timeout = call_timeout_ms;
     /// Interval at which the platform's host list is read.
@@ -340,7 +340,7 @@
 
 durations!(SteeringSettings {
     /// Time for which a caller may cache a steering answer.
-    keep = keep_ms;
+    ttl = keep_ms;
 });
 
 /// Choice of targets and connections to them.
@@ -521,7 +521,7 @@
     /// Time for which a host must be dead before its chunks are taken over.
     takeover_after = takeover_after_ms;
     /// Time after online work during which an engine gets no batch items.
-    yield_time = yield_ms;
+    online_cooldown = yield_ms;
     /// Timeout of one item.
     item_timeout = item_timeout_ms;
 });
