--- a/crates/cuminramp-batch/src/chunk.rs
+++ b/crates/cuminramp-batch/src/chunk.rs
@@ -28,7 +28,7 @@
 
 /// A lease as recorded by the host that holds it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct LeaseHolder {
+pub struct HeldLease {
     /// The host that holds the lease, with its incarnation.
     pub host: HostId,
     /// The fencing number under which the lease was granted.
@@ -80,10 +80,10 @@
     })
 }
 
-fn check_holder(row: &ChunkRow, holder: &LeaseHolder) -> Result<(), ChunkError> {
+fn check_holder(row: &ChunkRow, lease: &HeldLease) -> Result<(), ChunkError> {
     match row.state() {
         ChunkState::Done => Err(ChunkError::Done),
-        ChunkState::Leased if row.fence == holder.fence && holder_of(row) == holder.host => Ok(()),
+        ChunkState::Leased if row.fence == lease.fence && holder_of(row) == lease.host => Ok(()),
         _ => Err(ChunkError::NotHolder),
     }
 }
@@ -100,17 +100,17 @@
 /// let first = HostId { address: "10.0.0.1:1".into(), incarnation: 1 };
 /// let second = HostId { address: "10.0.0.2:1".into(), incarnation: 1 };
 /// let row = lease_chunk(&ChunkRow::default(), &first).unwrap();
-/// let late = LeaseHolder { host: first, fence: row.fence };
+/// let late = HeldLease { host: first, fence: row.fence };
 /// let row = lease_chunk(&row, &second).unwrap();
 /// assert_eq!(commit_chunk(&row, &late, "s", ChunkCounts::default()), Err(ChunkError::NotHolder));
 /// ```
 pub fn commit_chunk(
     row: &ChunkRow,
-    holder: &LeaseHolder,
+    lease: &HeldLease,
     segment: &str,
     counts: ChunkCounts,
 ) -> Result<ChunkRow, ChunkError> {
-    check_holder(row, holder)?;
+    check_holder(row, lease)?;
     Ok(ChunkRow {
         state: ChunkState::Done.into(),
         segment: segment.to_owned(),
@@ -123,8 +123,8 @@
 
 /// Returns the row as free, for a holder that gives up its lease without results, as a draining
 /// host does.
-pub fn release_chunk(row: &ChunkRow, holder: &LeaseHolder) -> Result<ChunkRow, ChunkError> {
-    check_holder(row, holder)?;
+pub fn release_chunk(row: &ChunkRow, lease: &HeldLease) -> Result<ChunkRow, ChunkError> {
+    check_holder(row, lease)?;
     Ok(ChunkRow { state: ChunkState::Free.into(), ..row.clone() })
 }
 
@@ -134,10 +134,10 @@
 /// ends with an error after a bounded number of crashes over all holders.
 pub fn record_crashes(
     row: &ChunkRow,
-    holder: &LeaseHolder,
+    lease: &HeldLease,
     crashed: &[SuspectItem],
 ) -> Result<ChunkRow, ChunkError> {
-    check_holder(row, holder)?;
+    check_holder(row, lease)?;
     let mut merged = row.suspects.clone();
     for item in crashed {
         match merged.iter_mut().find(|recorded| recorded.index == item.index) {
--- a/crates/cuminramp-batch/src/chunk/tests.rs
+++ b/crates/cuminramp-batch/src/chunk/tests.rs
@@ -32,13 +32,13 @@
     #[test]
     fn only_the_latest_lease_commits_and_only_once(steps in steps()) {
         let mut row = ChunkRow::default();
-        let mut leases: Vec<LeaseHolder> = Vec::new();
+        let mut leases: Vec<HeldLease> = Vec::new();
         let mut commits = 0;
         for step in steps {
             match step {
                 Step::Lease(number) => {
                     if let Ok(next) = lease_chunk(&row, &host(number)) {
-                        leases.push(LeaseHolder { host: host(number), fence: next.fence });
+                        leases.push(HeldLease { host: host(number), fence: next.fence });
                         row = next;
                     }
                 }
@@ -70,7 +70,7 @@
 #[test]
 fn crash_counts_carry_over_to_the_next_holder() {
     let row = lease_chunk(&ChunkRow::default(), &host(1)).unwrap();
-    let lease = LeaseHolder { host: host(1), fence: row.fence };
+    let lease = HeldLease { host: host(1), fence: row.fence };
     let row = record_crashes(&row, &lease, &[SuspectItem { index: 4, crashes: 1 }]).unwrap();
 
     let row = lease_chunk(&row, &host(2)).unwrap();
--- a/crates/cuminramp-batch/src/lib.rs
+++ b/crates/cuminramp-batch/src/lib.rs
@@ -21,7 +21,7 @@
 mod picker;
 
 pub use chunk::{
-    ChunkCounts, ChunkError, LeaseHolder, commit_chunk, is_claimable, lease_chunk, record_crashes,
+    ChunkCounts, ChunkError, HeldLease, commit_chunk, is_claimable, lease_chunk, record_crashes,
     release_chunk,
 };
 pub use input::{BatchItem, ItemError, parse_input, parse_line};
--- a/crates/cuminramp-daemon/src/batch/claims.rs
+++ b/crates/cuminramp-daemon/src/batch/claims.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cuminramp_batch::{
-    ChunkLayout, ChunkRange, JobPicker, LeaseHolder, OpenJob, chunk_key, is_claimable, job_key,
+    ChunkLayout, ChunkRange, HeldLease, JobPicker, OpenJob, chunk_key, is_claimable, job_key,
     lease_chunk, open_job_key, parse_input,
 };
 use cuminramp_core::{HostId, Name, rendezvous_score};
@@ -286,7 +286,7 @@
     let chunk = Arc::new(LeasedChunk {
         job: job.clone(),
         index: leased.row.index,
-        lease: LeaseHolder { host: state.me.id.clone(), fence: leased.row.fence },
+        lease: HeldLease { host: state.me.id.clone(), fence: leased.row.fence },
         items: std::sync::Mutex::new(items),
         row: tokio::sync::Mutex::new(leased),
         dropped: job.closed.child_token(),
--- a/crates/cuminramp-daemon/src/batch/leased.rs
+++ b/crates/cuminramp-daemon/src/batch/leased.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use cuminramp_batch::{BatchItem, ChunkCounts, ChunkLayout, ItemOutcome, LeaseHolder};
+use cuminramp_batch::{BatchItem, ChunkCounts, ChunkLayout, HeldLease, ItemOutcome};
 use cuminramp_core::Name;
 use cuminramp_platform::Version;
 use cuminramp_wire::rows::{ChunkRow, JobRow, SuspectItem};
@@ -46,7 +46,7 @@
 pub(crate) struct LeasedChunk {
     pub(crate) job: Arc<TrackedJob>,
     pub(crate) index: u32,
-    pub(crate) lease: LeaseHolder,
+    pub(crate) lease: HeldLease,
     pub(crate) items: Mutex<Vec<LeasedItem>>,
     /// Locked across writes, so that two updates of the row never run at the same time.
     pub(crate) row: tokio::sync::Mutex<LeasedRow>,
