--- a/crates/cuminramp-cli/src/bench/roles.rs
+++ b/crates/cuminramp-cli/src/bench/roles.rs
@@ -264,14 +264,14 @@
         .map(|index| TargetSpec {
             name: format!("engine-{index}").into(),
             slots: 64,
-            is_draining: false,
+            is_leaving: false,
         })
         .collect();
     let (mut table, bytes) = measure_allocation(|| TargetTable::new(TargetPolicy::default()));
     let ((), target_bytes) = measure_allocation(|| table.set_targets(&specs, now));
     let mut random = SeededRandom::new(1);
     let micros = mean_micros(ITERATIONS, |index| {
-        let query = ChoiceQuery { prefix: Some(index.into()), tried: &[] };
+        let query = ChoiceQuery { prefix: Some(index.into()), avoided: &[] };
         std::hint::black_box(table.choose(&specs, query, &mut random, now));
     });
     RolePoint { size: count, micros, bytes: bytes + target_bytes }
--- a/crates/cuminramp-daemon/src/daemon.rs
+++ b/crates/cuminramp-daemon/src/daemon.rs
@@ -297,9 +297,9 @@
 fn target_policy(settings: &DaemonSettings) -> TargetPolicy {
     let targets = &settings.targets;
     TargetPolicy {
-        eject_after: targets.eject_after,
-        eject: targets.eject(),
-        eject_share: targets.eject_share,
+        max_failures: targets.eject_after,
+        ejection_duration: targets.eject(),
+        max_ejected_share: targets.eject_share,
         slot_factor: targets.slot_factor,
     }
 }
--- a/crates/cuminramp-daemon/src/dispatch/attempt.rs
+++ b/crates/cuminramp-daemon/src/dispatch/attempt.rs
@@ -122,7 +122,7 @@
             // If the request's own deadline came first, nothing is known about the target's health.
             let deadline_first = remaining < timeout && !lease.silence_token.is_cancelled();
             lease.record_outcome(match error {
-                CallError::TimedOut(_) if deadline_first => AttemptEnd::Abandoned,
+                CallError::TimedOut(_) if deadline_first => AttemptEnd::Cancelled,
                 CallError::TimedOut(_) => AttemptEnd::Silent,
                 _ => AttemptEnd::Failed,
             });
--- a/crates/cuminramp-daemon/src/dispatch/mod.rs
+++ b/crates/cuminramp-daemon/src/dispatch/mod.rs
@@ -26,5 +26,5 @@
 
 /// Returns the properties of one target that the choice of a target depends on.
 pub(crate) fn target_spec(target: &Target) -> TargetSpec {
-    TargetSpec { name: target.name.clone(), slots: target.slots, is_draining: target.leaving }
+    TargetSpec { name: target.name.clone(), slots: target.slots, is_leaving: target.leaving }
 }
--- a/crates/cuminramp-daemon/src/dispatch/online.rs
+++ b/crates/cuminramp-daemon/src/dispatch/online.rs
@@ -107,7 +107,7 @@
     /// Records that the target crashed while it ran the request, and reports the crash count to other
     /// hosts.
     pub(crate) fn record_crash(&self) {
-        let crashes = lock(&self.state.crashes).on_crash(self.fingerprint, Instant::now());
+        let crashes = lock(&self.state.crashes).record_crash(self.fingerprint, Instant::now());
         log::info!(fingerprint = self.fingerprint, crashes = crashes; "crash");
         let report =
             CrashReport { counts: vec![CrashCount { fingerprint: self.fingerprint, crashes }] };
@@ -120,7 +120,7 @@
 
     /// Records that the request ran to completion, which clears its crash count.
     pub(crate) fn record_success(&self) {
-        lock(&self.state.crashes).on_success(self.fingerprint);
+        lock(&self.state.crashes).record_success(self.fingerprint);
     }
 
     /// Returns the targets that the request should not run on while another one is eligible.
@@ -282,9 +282,9 @@
             .await?;
     }
     loop {
-        let mut excluded = active.tried.clone();
-        excluded.extend(active.crash_tracker.excluded_targets());
-        if let Some(choice) = choose_target(state, online, &specs, &excluded) {
+        let mut avoided = active.tried.clone();
+        avoided.extend(active.crash_tracker.excluded_targets());
+        if let Some(choice) = choose_target(state, online, &specs, &avoided) {
             let target = online.pool.targets[choice.index].clone();
             log::info!(
                 request = &*online.id, team = &*online.team.name, route = &*online.route.name,
@@ -322,10 +322,10 @@
     state: &DaemonState,
     online: &OnlineRequest,
     specs: &[TargetSpec],
-    tried: &[Name],
+    avoided: &[Name],
 ) -> Option<TargetChoice> {
     let now = Instant::now();
-    let query = ChoiceQuery { prefix: online.prefix, tried };
+    let query = ChoiceQuery { prefix: online.prefix, avoided };
     let preferred = match online.pool.kind {
         PoolKind::Engines => state.batch.preferred_online_targets(state, &online.pool.name, specs),
         PoolKind::Services => None,
--- a/crates/cuminramp-gateway/src/online/serve.rs
+++ b/crates/cuminramp-gateway/src/online/serve.rs
@@ -99,7 +99,8 @@
         if crashes.is_empty() {
             return Ok(());
         }
-        let Some(remaining) = crashes.quarantine_left(self.fingerprint(), Instant::now()) else {
+        let Some(remaining) = crashes.remaining_quarantine(self.fingerprint(), Instant::now())
+        else {
             return Ok(());
         };
         let execution = if self.runs > 0 { Execution::MayHaveRun } else { Execution::NotRun };
@@ -112,7 +113,7 @@
     /// Records that this request may have crashed a target: the only request on a connection is counted when
     /// the connection breaks. Other hosts receive the count with the next heartbeat, which is requested here.
     pub(crate) fn record_crash(&self) {
-        let crashes = lock(&self.state.crashes).on_crash(self.fingerprint(), Instant::now());
+        let crashes = lock(&self.state.crashes).record_crash(self.fingerprint(), Instant::now());
         self.record.record_crash(self.fingerprint(), crashes);
         self.state.request_heartbeat();
     }
@@ -121,7 +122,7 @@
     pub(crate) fn record_success(&self) {
         let mut crashes = lock(&self.state.crashes);
         if !crashes.is_empty() {
-            crashes.on_success(self.fingerprint());
+            crashes.record_success(self.fingerprint());
         }
     }
 
--- a/crates/cuminramp-targets/src/choice.rs
+++ b/crates/cuminramp-targets/src/choice.rs
@@ -26,11 +26,11 @@
 #[derive(Clone, Debug)]
 pub struct TargetPolicy {
     /// Number of consecutive failures after which a target is ejected.
-    pub eject_after: u32,
+    pub max_failures: u32,
     /// Duration of the first ejection. Each further one lasts twice as long, up to 8 times the first.
-    pub eject: Duration,
+    pub ejection_duration: Duration,
     /// Maximum share of a pool's targets that are kept out at once by ejection.
-    pub eject_share: f64,
+    pub max_ejected_share: f64,
     /// Maximum number of requests on a target, as a multiple of its slots.
     pub slot_factor: f64,
 }
@@ -38,9 +38,9 @@
 impl Default for TargetPolicy {
     fn default() -> Self {
         TargetPolicy {
-            eject_after: 3,
-            eject: Duration::from_secs(1),
-            eject_share: 0.5,
+            max_failures: 3,
+            ejection_duration: Duration::from_secs(1),
+            max_ejected_share: 0.5,
             slot_factor: 1.0,
         }
     }
@@ -54,7 +54,7 @@
     /// Number of requests that it runs concurrently.
     pub slots: u32,
     /// Whether it is being removed and gets no new work.
-    pub is_draining: bool,
+    pub is_leaving: bool,
 }
 
 /// The load that a target reported.
@@ -85,7 +85,7 @@
     /// The target sent nothing before the timeout. It is ejected at once.
     Silent,
     /// This host ended the attempt, as at the request's deadline, which shows nothing about the target.
-    Abandoned,
+    Cancelled,
 }
 
 /// Properties of a request that affect the choice of its target.
@@ -95,7 +95,7 @@
     pub prefix: Option<u64>,
     /// Targets to avoid: those of earlier attempts and those that the caller excludes. They are chosen
     /// only if no other target is eligible.
-    pub tried: &'a [Name],
+    pub avoided: &'a [Name],
 }
 
 /// Why a target was chosen.
@@ -105,8 +105,8 @@
     Prefix,
     /// The target has the shorter expected wait of two drawn at random.
     Wait,
-    /// The target is the only candidate: all others are leaving, ejected, full or already tried.
-    Last,
+    /// The target is the only candidate: all others are leaving, ejected, full or avoided.
+    OnlyCandidate,
 }
 
 impl ChoiceReason {
@@ -115,7 +115,7 @@
         match self {
             ChoiceReason::Prefix => "prefix",
             ChoiceReason::Wait => "wait",
-            ChoiceReason::Last => "last",
+            ChoiceReason::OnlyCandidate => "last",
         }
     }
 }
@@ -303,11 +303,11 @@
             AttemptEnd::Failed => {
                 record.failures += 1;
                 let on_probation = record.is_on_probation();
-                let eject = on_probation || record.failures >= policy.eject_after;
+                let eject = on_probation || record.failures >= policy.max_failures;
                 eject && eject_target(record, &policy, now)
             }
             AttemptEnd::Silent => eject_target(record, &policy, now),
-            AttemptEnd::Abandoned => false,
+            AttemptEnd::Cancelled => false,
         }
     }
 
@@ -330,7 +330,7 @@
         random: &mut dyn RandomSource,
         now: Instant,
     ) -> Option<TargetChoice> {
-        let eligible = self.eligible(specs, query.tried, now);
+        let eligible = self.eligible(specs, query.avoided, now);
         let candidates: Vec<usize> = eligible
             .iter()
             .copied()
@@ -338,14 +338,14 @@
             .collect();
         match candidates.as_slice() {
             [] => None,
-            [index] => Some(TargetChoice { index: *index, reason: ChoiceReason::Last }),
+            [index] => Some(TargetChoice { index: *index, reason: ChoiceReason::OnlyCandidate }),
             _ => Some(self.choose_among(specs, &candidates, query.prefix, random, now)),
         }
     }
 
     /// Returns whether any target can run requests at all, that is, is not leaving.
     pub fn has_targets(&self, specs: &[TargetSpec]) -> bool {
-        specs.iter().any(|spec| !spec.is_draining)
+        specs.iter().any(|spec| !spec.is_leaving)
     }
 
     fn record_of(&self, spec: &TargetSpec) -> Option<&TargetRecord> {
@@ -360,10 +360,10 @@
     }
 
     /// Returns the targets that may get the request: not leaving, not ejected (up to the maximum share
-    /// of ejected targets), and not tried before, unless all others were tried too.
-    fn eligible(&self, specs: &[TargetSpec], tried: &[Name], now: Instant) -> Vec<usize> {
+    /// of ejected targets), and not avoided, unless all others are avoided too.
+    fn eligible(&self, specs: &[TargetSpec], avoided: &[Name], now: Instant) -> Vec<usize> {
         let not_leaving: Vec<usize> =
-            (0..specs.len()).filter(|index| !specs[*index].is_draining).collect();
+            (0..specs.len()).filter(|index| !specs[*index].is_leaving).collect();
         let mut ejected: Vec<(Instant, usize)> = not_leaving
             .iter()
             .filter_map(|index| {
@@ -375,13 +375,16 @@
         // last. A brief network failure between hosts and targets can eject all targets at once;
         // without the limit, callers would be refused while the targets are idle.
         ejected.sort_by_key(|(until, _)| std::cmp::Reverse(*until));
-        ejected.truncate((not_leaving.len() as f64 * self.policy.eject_share) as usize);
+        ejected.truncate((not_leaving.len() as f64 * self.policy.max_ejected_share) as usize);
         let not_ejected =
             not_leaving.iter().filter(|index| !ejected.iter().any(|(_, out)| out == *index));
         let allowed: Vec<usize> = not_ejected.copied().collect();
-        let untried: Vec<usize> =
-            allowed.iter().copied().filter(|index| !tried.contains(&specs[*index].name)).collect();
-        if untried.is_empty() { allowed } else { untried }
+        let not_avoided: Vec<usize> = allowed
+            .iter()
+            .copied()
+            .filter(|index| !avoided.contains(&specs[*index].name))
+            .collect();
+        if not_avoided.is_empty() { allowed } else { not_avoided }
     }
 
     /// Chooses among at least two candidates: the one that the prefix prefers, unless it is much busier
@@ -425,7 +428,8 @@
     if record.is_ejected(now) {
         return false;
     }
-    let duration = policy.eject * 2u32.pow(record.ejections.min(MAX_EJECTION_DOUBLINGS));
+    let duration =
+        policy.ejection_duration * 2u32.pow(record.ejections.min(MAX_EJECTION_DOUBLINGS));
     record.ejected_until = Some(now + duration);
     record.ejections += 1;
     record.failures = 0;
--- a/crates/cuminramp-targets/src/choice/tests.rs
+++ b/crates/cuminramp-targets/src/choice/tests.rs
@@ -5,11 +5,10 @@
 
 use super::*;
 
-const QUERY: ChoiceQuery<'static> = ChoiceQuery { prefix: None, tried: &[] };
+const QUERY: ChoiceQuery<'static> = ChoiceQuery { prefix: None, avoided: &[] };
 
 fn specs(count: usize) -> Vec<TargetSpec> {
-    let spec =
-        |index| TargetSpec { name: format!("e{index}").into(), slots: 4, is_draining: false };
+    let spec = |index| TargetSpec { name: format!("e{index}").into(), slots: 4, is_leaving: false };
     (0..count).map(spec).collect()
 }
 
@@ -71,7 +70,7 @@
 fn a_leaving_target_gets_no_requests() {
     let now = Instant::now();
     let mut specs = specs(3);
-    specs[1].is_draining = true;
+    specs[1].is_leaving = true;
     let table = table(&specs, now);
 
     assert_eq!(counts(&table, &specs, now)[1], 0);
@@ -83,8 +82,8 @@
     let specs = specs(2);
     let table = table(&specs, now);
     let mut random = SeededRandom::new(1);
-    let mut choose = |tried: &[Name]| {
-        table.choose(&specs, ChoiceQuery { prefix: None, tried }, &mut random, now)
+    let mut choose = |avoided: &[Name]| {
+        table.choose(&specs, ChoiceQuery { prefix: None, avoided }, &mut random, now)
     };
 
     let other = choose(&["e0".into()]).unwrap();
@@ -118,7 +117,7 @@
     let now = Instant::now();
     let specs = specs(5);
     let mut table = table(&specs, now);
-    let query = ChoiceQuery { prefix: Some(9), tried: &[] };
+    let query = ChoiceQuery { prefix: Some(9), avoided: &[] };
     let mut random = SeededRandom::new(1);
 
     let first = table.choose(&specs, query, &mut random, now).unwrap();
--- a/crates/cuminramp-targets/src/crashes.rs
+++ b/crates/cuminramp-targets/src/crashes.rs
@@ -54,10 +54,10 @@
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
     /// let now = tokio::time::Instant::now();
     /// let mut table = cuminramp_targets::CrashTable::new(2, std::time::Duration::from_secs(60));
-    /// table.on_crash(7, now);
+    /// table.record_crash(7, now);
     /// assert!(table.begin(7, now));
     /// table.end(7);
-    /// table.on_crash(7, now);
+    /// table.record_crash(7, now);
     /// assert!(!table.begin(7, now));
     /// # }
     /// ```
@@ -93,7 +93,7 @@
     /// Records that a target crashed while it ran this request. Other requests may have run there too:
     /// the crash is then recorded for each, as nothing shows which one caused it. Returns the crash
     /// count of the request.
-    pub fn on_crash(&mut self, fingerprint: u64, now: Instant) -> u32 {
+    pub fn record_crash(&mut self, fingerprint: u64, now: Instant) -> u32 {
         if self.records.len() >= MAX_RECORDS {
             let quarantine = self.quarantine;
             self.records.retain(|_, record| {
@@ -109,7 +109,7 @@
     }
 
     /// Clears a request that ran to completion: its earlier crashes had another cause.
-    pub fn on_success(&mut self, fingerprint: u64) {
+    pub fn record_success(&mut self, fingerprint: u64) {
         self.records.remove(&fingerprint);
     }
 
@@ -137,7 +137,7 @@
     /// Returns how long a request stays quarantined; `None` if it is not. Unlike [`begin`](Self::begin),
     /// this does not stop requests below the crash limit: where callers often send identical requests,
     /// one broken connection would stop all of them.
-    pub fn quarantine_left(&self, fingerprint: u64, now: Instant) -> Option<Duration> {
+    pub fn remaining_quarantine(&self, fingerprint: u64, now: Instant) -> Option<Duration> {
         let record = self.records.get(&fingerprint)?;
         let left =
             self.quarantine.checked_sub(now.saturating_duration_since(record.last_crash_at))?;
--- a/crates/cuminramp-targets/src/crashes/tests.rs
+++ b/crates/cuminramp-targets/src/crashes/tests.rs
@@ -16,16 +16,16 @@
 async fn a_request_that_crashed_three_targets_is_quarantined_for_a_limited_time() {
     let mut table = table();
 
-    let mut quarantine_left = Vec::new();
+    let mut quarantined = Vec::new();
     for _ in 0..3 {
-        table.on_crash(7, Instant::now());
-        quarantine_left.push(table.quarantine_left(7, Instant::now()).is_some());
+        table.record_crash(7, Instant::now());
+        quarantined.push(table.remaining_quarantine(7, Instant::now()).is_some());
     }
     advance(QUARANTINE + Duration::from_secs(1)).await;
-    quarantine_left.push(table.quarantine_left(7, Instant::now()).is_some());
+    quarantined.push(table.remaining_quarantine(7, Instant::now()).is_some());
 
-    assert_eq!(quarantine_left, [false, false, true, false]);
-    assert!(table.quarantine_left(8, Instant::now()).is_none());
+    assert_eq!(quarantined, [false, false, true, false]);
+    assert!(table.remaining_quarantine(8, Instant::now()).is_none());
 }
 
 /// A request loses its connection to the target because of unrelated faults, three times in all, and
@@ -33,13 +33,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_completed_run_clears_a_request() {
     let mut table = table();
-    table.on_crash(7, Instant::now());
-    table.on_crash(7, Instant::now());
+    table.record_crash(7, Instant::now());
+    table.record_crash(7, Instant::now());
 
-    table.on_success(7);
-    table.on_crash(7, Instant::now());
+    table.record_success(7);
+    table.record_crash(7, Instant::now());
 
-    assert!(table.quarantine_left(7, Instant::now()).is_none());
+    assert!(table.remaining_quarantine(7, Instant::now()).is_none());
 }
 
 /// A caller sends each retry to another host. Three hosts that each counted only the crashes they
@@ -47,8 +47,8 @@
 #[tokio::test(start_paused = true)]
 async fn crashes_observed_by_others_count_and_are_not_reported_again() {
     let (mut here, mut there) = (table(), table());
-    here.on_crash(7, Instant::now());
-    here.on_crash(7, Instant::now());
+    here.record_crash(7, Instant::now());
+    here.record_crash(7, Instant::now());
 
     for (fingerprint, crashes) in
         here.recent_local_crashes(Duration::from_secs(2), 64, Instant::now())
@@ -56,10 +56,10 @@
         there.merge(fingerprint, crashes, Instant::now());
     }
     let reported_again = there.recent_local_crashes(Duration::from_secs(2), 64, Instant::now());
-    there.on_crash(7, Instant::now());
+    there.record_crash(7, Instant::now());
 
     assert!(reported_again.is_empty());
-    assert!(there.quarantine_left(7, Instant::now()).is_some());
+    assert!(there.remaining_quarantine(7, Instant::now()).is_some());
     advance(Duration::from_secs(3)).await;
     assert!(here.recent_local_crashes(Duration::from_secs(2), 64, Instant::now()).is_empty());
 }
@@ -70,9 +70,9 @@
 async fn reported_crashes_are_bounded_and_the_highest_counts_come_first() {
     let mut table = table();
     (0..500).for_each(|fingerprint| {
-        table.on_crash(fingerprint, Instant::now());
+        table.record_crash(fingerprint, Instant::now());
     });
-    table.on_crash(321, Instant::now());
+    table.record_crash(321, Instant::now());
 
     let reported = table.recent_local_crashes(Duration::from_secs(2), 64, Instant::now());
 
--- a/crates/cuminramp-targets/src/packing.rs
+++ b/crates/cuminramp-targets/src/packing.rs
@@ -36,13 +36,13 @@
     }
 
     /// Returns the targets to use for `in_flight` online requests, counted over all hosts of the pool.
-    /// Draining targets are excluded. The number of targets grows at once and shrinks by one per interval.
+    /// Leaving targets are excluded. The number of targets grows at once and shrinks by one per interval.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")] async fn main() {
     /// use cuminramp_targets::{OnlinePacking, TargetSpec};
     /// let now = tokio::time::Instant::now();
-    /// let spec = |index| TargetSpec { name: format!("e{index}").into(), slots: 16, is_draining: false };
+    /// let spec = |index| TargetSpec { name: format!("e{index}").into(), slots: 16, is_leaving: false };
     /// let specs: Vec<TargetSpec> = (0..4).map(spec).collect();
     /// let mut packing = OnlinePacking::new(now);
     /// assert_eq!(packing.choose(&specs, 40.0, now).len(), 4);
@@ -55,7 +55,7 @@
         now: Instant,
     ) -> Vec<TargetSpec> {
         let mut available: Vec<&TargetSpec> =
-            specs.iter().filter(|spec| !spec.is_draining).collect();
+            specs.iter().filter(|spec| !spec.is_leaving).collect();
         available.sort_by_cached_key(|spec| Reverse(rendezvous_score("online", &spec.name)));
         let required = required_targets(&available, in_flight);
         self.targets = self.targets.min(available.len());
--- a/crates/cuminramp-targets/src/packing/tests.rs
+++ b/crates/cuminramp-targets/src/packing/tests.rs
@@ -7,7 +7,7 @@
 
 fn specs() -> Vec<TargetSpec> {
     let spec =
-        |index| TargetSpec { name: format!("e{index}").into(), slots: 16, is_draining: false };
+        |index| TargetSpec { name: format!("e{index}").into(), slots: 16, is_leaving: false };
     (0..8).map(spec).collect()
 }
 
