--- a/crates/cuminramp-gateway/src/entry/calls.rs
+++ b/crates/cuminramp-gateway/src/entry/calls.rs
@@ -88,7 +88,7 @@
         return Err(refusal);
     };
     let version = declared.version();
-    let operation = state.call_format.read_call(&parts);
+    let operation = state.call_format.read_operation(&parts);
     if operation != CallerOperation::Request {
         let job = operation.job().cloned();
         let outcome = answer_job_call(state, &declared, head, operation).await;
@@ -232,8 +232,8 @@
     let team: Name = team.map_or_else(|| "".into(), |team| team.name.clone());
     let caller = JobCaller { team, head: head.clone() };
     match operation {
-        CallerOperation::ReadResults { job, after, wait } => {
-            read_results(state, &caller, &job, after, wait).await
+        CallerOperation::ReadResults { job, from, wait } => {
+            read_results(state, &caller, &job, from, wait).await
         }
         CallerOperation::ReadItem { job, item } => read_item(state, &caller, &job, &item).await,
         CallerOperation::EndJob { job } => end_job(state, &caller, &job).await,
--- a/crates/cuminramp-gateway/src/interfaces.rs
+++ b/crates/cuminramp-gateway/src/interfaces.rs
@@ -58,7 +58,7 @@
         /// The job.
         job: Name,
         /// Position of the first result to read.
-        after: u32,
+        from: u32,
         /// Maximum time to wait for a result.
         wait: Duration,
     },
@@ -164,7 +164,7 @@
     fn read_head(&self, parts: &request::Parts) -> CallHead;
 
     /// Reads the operation that a call requests.
-    fn read_call(&self, parts: &request::Parts) -> CallerOperation;
+    fn read_operation(&self, parts: &request::Parts) -> CallerOperation;
 
     /// Returns the headers sent to a target for a caller's request.
     fn target_headers(&self, parts: &request::Parts, head: &TargetHead<'_>) -> HeaderMap;
--- a/crates/cuminramp-gateway/src/jobs/read.rs
+++ b/crates/cuminramp-gateway/src/jobs/read.rs
@@ -57,23 +57,23 @@
     Ok(KnownJob { row: decoded, version: row.version })
 }
 
-/// Responds with a job's results from position `after` on. Waits up to `wait` for the first one if none is
+/// Responds with a job's results from position `from` on. Waits up to `wait` for the first one if none is
 /// listed yet.
 pub(crate) async fn read_results(
     state: &Arc<GatewayState>,
     caller: &JobCaller,
     job: &str,
-    after: u32,
+    from: u32,
     wait: Duration,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let mut changes = state.directory.subscribe();
     let known = find_job(state, caller, job).await?;
     let total = known.row.total;
     let wait = wait.min(MAX_WAIT).saturating_sub(WAIT_MARGIN);
-    if known.row.listed <= after && after < total && !wait.is_zero() {
+    if known.row.listed <= from && from < total && !wait.is_zero() {
         let result_listed = async {
             while changes.changed().await.is_ok() {
-                if state.directory.get(job).is_some_and(|known| known.row.listed > after) {
+                if state.directory.get(job).is_some_and(|known| known.row.listed > from) {
                     return;
                 }
             }
@@ -81,24 +81,24 @@
         // The table is read below whether or not the wait timed out.
         let _ = tokio::time::timeout(wait, result_listed).await;
     }
-    let results = if after < total {
-        read_page(state, caller, job, after).await.map_err(|error| store_refusal(&error))?
+    let results = if from < total {
+        read_page(state, caller, job, from).await.map_err(|error| store_refusal(&error))?
     } else {
         vec![]
     };
-    let page = ResultPage { total, next: after + results.len() as u32, results };
+    let page = ResultPage { total, next: from + results.len() as u32, results };
     Ok(complete_response(StatusCode::OK, state.call_format.write_results(&page)))
 }
 
-/// Reads listed results from position `after` on, as many as fit into one response.
+/// Reads listed results from position `from` on, as many as fit into one response.
 async fn read_page(
     state: &GatewayState,
     caller: &JobCaller,
     job: &str,
-    after: u32,
+    from: u32,
 ) -> Result<Vec<ListedResult>, StoreError> {
     let prefix = results_prefix(&caller.team, job);
-    let before = match after.checked_sub(1) {
+    let before = match from.checked_sub(1) {
         Some(position) => result_key(&caller.team, job, position),
         None => String::new(),
     };
