--- a/crates/cuminramp-fleet/src/acceptance.rs
+++ b/crates/cuminramp-fleet/src/acceptance.rs
@@ -5,7 +5,7 @@
 
 /// Submission call that wrote the row of a job, as last read from the table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum JobRowOwner {
+pub enum JobRowWriter {
     /// None: no row of the job was read.
     Missing,
     /// This call wrote the row.
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptanceView {
     /// Writer of the job's row in the table.
-    pub found: JobRowOwner,
+    pub row_writer: JobRowWriter,
     /// Tokens of the team's unfinished items on the route. Includes this job's once its row was read.
     pub waiting_tokens: u64,
     /// Tokens of this job.
@@ -60,9 +60,9 @@
     /// A caller that then submits the same work under another name would get it done twice.
     ///
     /// ```
-    /// use cuminramp_fleet::{AcceptanceStep, AcceptanceView, JobRowOwner};
+    /// use cuminramp_fleet::{AcceptanceStep, AcceptanceView, JobRowWriter};
     /// let view = AcceptanceView {
-    ///     found: JobRowOwner::Missing,
+    ///     row_writer: JobRowWriter::Missing,
     ///     waiting_tokens: 600,
     ///     job_tokens: 500,
     ///     max_waiting_tokens: 1_000,
@@ -71,14 +71,14 @@
     ///     is_past_deadline: false,
     /// };
     /// assert_eq!(view.next_step(), AcceptanceStep::RefuseFull);
-    /// let late = AcceptanceView { found: JobRowOwner::Own, ..view };
+    /// let late = AcceptanceView { row_writer: JobRowWriter::Own, ..view };
     /// assert_eq!(late.next_step(), AcceptanceStep::Accepted);
     /// ```
     pub fn next_step(&self) -> AcceptanceStep {
-        match self.found {
-            JobRowOwner::Own => return AcceptanceStep::Accepted,
-            JobRowOwner::Other => return AcceptanceStep::AlreadyAccepted,
-            JobRowOwner::Missing => {}
+        match self.row_writer {
+            JobRowWriter::Own => return AcceptanceStep::Accepted,
+            JobRowWriter::Other => return AcceptanceStep::AlreadyAccepted,
+            JobRowWriter::Missing => {}
         }
         if self.is_past_deadline {
             return self.refuse_unless_pending(AcceptanceStep::RefuseUnavailable);
--- a/crates/cuminramp-fleet/src/acceptance/tests.rs
+++ b/crates/cuminramp-fleet/src/acceptance/tests.rs
@@ -1,10 +1,10 @@
 use test_case::test_case;
 
-use super::{AcceptanceStep, AcceptanceView, JobRowOwner};
+use super::{AcceptanceStep, AcceptanceView, JobRowWriter};
 
 fn view() -> AcceptanceView {
     AcceptanceView {
-        found: JobRowOwner::Missing,
+        row_writer: JobRowWriter::Missing,
         waiting_tokens: 0,
         job_tokens: 500,
         max_waiting_tokens: 1_000,
@@ -19,7 +19,7 @@
 #[test_case(AcceptanceView { waiting_tokens: 600, ..view() }, AcceptanceStep::Refresh; "above the limit by an old read")]
 #[test_case(AcceptanceView { waiting_tokens: 600, is_fresh: true, ..view() }, AcceptanceStep::RefuseFull; "above the limit")]
 #[test_case(AcceptanceView { is_past_deadline: true, ..view() }, AcceptanceStep::RefuseUnavailable; "no time left")]
-#[test_case(AcceptanceView { found: JobRowOwner::Other, ..view() }, AcceptanceStep::AlreadyAccepted; "accepted by another call")]
+#[test_case(AcceptanceView { row_writer: JobRowWriter::Other, ..view() }, AcceptanceStep::AlreadyAccepted; "accepted by another call")]
 fn a_view_without_pending_writes_decides_the_next_step(
     view: AcceptanceView,
     expected: AcceptanceStep,
@@ -34,7 +34,7 @@
 #[test_case(AcceptanceView { waiting_tokens: 600, is_fresh: true, ..view() }; "above the limit with its own row")]
 #[test_case(AcceptanceView { is_past_deadline: true, ..view() }; "no time left")]
 fn a_job_whose_own_row_is_read_is_accepted(view: AcceptanceView) {
-    let view = AcceptanceView { found: JobRowOwner::Own, has_pending_write: true, ..view };
+    let view = AcceptanceView { row_writer: JobRowWriter::Own, has_pending_write: true, ..view };
 
     let step = view.next_step();
 
--- a/crates/cuminramp-fleet/src/heartbeat.rs
+++ b/crates/cuminramp-fleet/src/heartbeat.rs
@@ -101,14 +101,14 @@
     /// Whether the sender can reach the store.
     pub reaches_store: bool,
     /// Version of the declarations that the sender applies.
-    pub declarations: u64,
+    pub declarations_version: u64,
     /// Version up to which the sender's rows of targets are complete.
-    pub targets: u64,
+    pub targets_version: u64,
     /// Usage of teams: of all that the sender admitted requests of, or only of those whose usage changed
     /// recently.
     pub usage: Vec<TeamUsage>,
     /// Whether `usage` lists every team that the sender admitted requests of, as in a full heartbeat.
-    pub is_usage_full: bool,
+    pub is_full: bool,
     /// Whether the sender has been up for long enough that others can adopt its token levels.
     pub is_settled: bool,
     /// Some of the hosts that the sender knows.
--- a/crates/cuminramp-fleet/src/jobs.rs
+++ b/crates/cuminramp-fleet/src/jobs.rs
@@ -119,7 +119,7 @@
     }
 
     /// Returns the index and progress of each waiting item of which at least one event was received.
-    pub fn progress(&self) -> impl Iterator<Item = (usize, &ItemProgress)> {
+    pub fn waiting_progress(&self) -> impl Iterator<Item = (usize, &ItemProgress)> {
         let started = self.items.iter().enumerate().filter(|(_, entry)| {
             entry.phase == ItemPhase::Waiting && entry.progress.last_event.is_some()
         });
@@ -330,7 +330,7 @@
     ) -> Option<FinishedItem> {
         let policy = self.policy;
         let held = self.jobs.get_mut(job)?;
-        let max_attempts = held.spec.max_attempts;
+        let max_failures = held.spec.max_failures;
         let entry = held.items.get_mut(index)?;
         if entry.phase == ItemPhase::Finished {
             return None;
@@ -344,7 +344,7 @@
             ItemFailure::Failed => {
                 entry.failures += 1;
                 entry.not_before = Some(now + policy.failure_delay);
-                if entry.failures >= max_attempts {
+                if entry.failures >= max_failures {
                     return self.finish(job, index, ItemOutcome::GivenUp);
                 }
             }
--- a/crates/cuminramp-fleet/src/jobs/item.rs
+++ b/crates/cuminramp-fleet/src/jobs/item.rs
@@ -38,7 +38,7 @@
     /// Time after which unfinished items may be given up.
     pub expires: Instant,
     /// Number of failed runs after which an item is given up.
-    pub max_attempts: u32,
+    pub max_failures: u32,
     /// Items of the job.
     pub items: Vec<Arc<ItemSpec>>,
 }
--- a/crates/cuminramp-fleet/src/jobs/tests.rs
+++ b/crates/cuminramp-fleet/src/jobs/tests.rs
@@ -28,7 +28,7 @@
         host: "a.example".into(),
         due: now + Duration::from_secs(due),
         expires: now + Duration::from_secs(60),
-        max_attempts: 3,
+        max_failures: 3,
         items: items.iter().map(|id| item(id)).collect(),
     }
 }
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_item_is_given_up_after_max_attempts_failures() {
+async fn an_item_is_given_up_after_max_failures() {
     let mut table = table(vec![job("j", 10, &["a"])]);
 
     let mut outcomes = Vec::new();
--- a/crates/cuminramp-fleet/src/lib.rs
+++ b/crates/cuminramp-fleet/src/lib.rs
@@ -38,7 +38,7 @@
 mod slots;
 mod steering;
 
-pub use acceptance::{AcceptanceStep, AcceptanceView, JobRowOwner};
+pub use acceptance::{AcceptanceStep, AcceptanceView, JobRowWriter};
 pub use declarations::{
     CallerLimits, DeclarationStore, FleetDeclarations, PoolRule, PoolShare, RouteKind, RouteRule,
     TeamRule,
--- a/crates/cuminramp-fleet/src/quota.rs
+++ b/crates/cuminramp-fleet/src/quota.rs
@@ -299,7 +299,7 @@
         }
         let is_settled = self.is_settled(now);
         let counts = self.received.get_or_insert_with(host, ReceivedCounts::default);
-        match (counts.baseline, heartbeat.is_usage_full) {
+        match (counts.baseline, heartbeat.is_full) {
             // Counts only grow, so a reported count is current in full and partial heartbeats alike.
             (CountBaseline::Current, _) | (CountBaseline::BeforeSilence, false) => {
                 deduct_usage(&mut self.teams, counts, heartbeat, self.alive_share, now);
--- a/crates/cuminramp-fleet/src/quota/tests.rs
+++ b/crates/cuminramp-fleet/src/quota/tests.rs
@@ -51,7 +51,7 @@
     let now = Instant::now();
     HostHeartbeat {
         usage: table.usage(is_full, now),
-        is_usage_full: is_full,
+        is_full,
         is_settled: table.is_settled(now),
         ..host_heartbeat(known_host(address, 1, "z"), 1)
     }
--- a/crates/cuminramp-gateway/src/jobs/accept.rs
+++ b/crates/cuminramp-gateway/src/jobs/accept.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use cuminramp_core::{Execution, Name, Refusal, ResultCode, hash_parts};
-use cuminramp_fleet::{AcceptanceStep, AcceptanceView, ItemSpec, JobRowOwner, JobSpec, RouteRule};
+use cuminramp_fleet::{AcceptanceStep, AcceptanceView, ItemSpec, JobRowWriter, JobSpec, RouteRule};
 use cuminramp_platform::{CommitOutcome, StoreError, Transaction};
 use cuminramp_wire::encode_row;
 use cuminramp_wire::fleet::{GateRow, JobHeader, JobInput, JobItem, JobPhase, JobRow};
@@ -264,13 +264,13 @@
 
 /// Returns what the directory shows of the job and of its team.
 fn acceptance_view(state: &GatewayState, draft: &JobDraft, is_fresh: bool) -> AcceptanceView {
-    let found = match state.directory.get(&draft.row.id) {
-        None => JobRowOwner::Missing,
-        Some(known) if is_written_by(&known, draft) => JobRowOwner::Own,
-        Some(_) => JobRowOwner::Other,
+    let row_writer = match state.directory.get(&draft.row.id) {
+        None => JobRowWriter::Missing,
+        Some(known) if is_written_by(&known, draft) => JobRowWriter::Own,
+        Some(_) => JobRowWriter::Other,
     };
     AcceptanceView {
-        found,
+        row_writer,
         waiting_tokens: state.directory.waiting_tokens(&draft.row.team, &draft.row.route),
         job_tokens: draft.tokens,
         max_waiting_tokens: draft.max_waiting_tokens,
@@ -416,7 +416,7 @@
         host: row.host.as_str().into(),
         due: at(row.due_ms),
         expires: at(row.give_up_ms),
-        max_attempts: row.max_attempts.max(1),
+        max_failures: row.max_attempts.max(1),
         items,
     }
 }
--- a/crates/cuminramp-gateway/src/jobs/writer.rs
+++ b/crates/cuminramp-gateway/src/jobs/writer.rs
@@ -309,8 +309,9 @@
         let key = job_key(&team, &id);
         let transaction =
             Transaction::default().put_if_version(key, self.known.version, encode_row(&next));
-        let progress =
-            held.progress().map(|(index, progress)| (index, &self.item_ids[index], progress));
+        let progress = held
+            .waiting_progress()
+            .map(|(index, progress)| (index, &self.item_ids[index], progress));
         let (transaction, written) = add_progress_rows(transaction, &team, &id, progress);
         let outcome = self.state.store.commit(transaction).await;
         let outcome = format!("{outcome:?}");
--- a/crates/cuminramp-gateway/src/peers/heartbeats.rs
+++ b/crates/cuminramp-gateway/src/peers/heartbeats.rs
@@ -54,24 +54,22 @@
 fn make_heartbeat(state: &GatewayState, kind: HeartbeatKind) -> HostHeartbeat {
     let now = Instant::now();
     let sequence = state.heartbeat_sequence.fetch_add(1, Ordering::Relaxed);
-    let is_usage_full =
-        kind != HeartbeatKind::Regular || sequence.is_multiple_of(HEARTBEATS_PER_FULL);
+    let is_full = kind != HeartbeatKind::Regular || sequence.is_multiple_of(HEARTBEATS_PER_FULL);
     let known_hosts = match kind {
         HeartbeatKind::JoinResponse { includes_hosts: true } => {
             select_known_hosts(state, sequence, MAX_HOSTS_JOIN_RESPONSE)
         }
-        HeartbeatKind::Regular if is_usage_full => {
-            select_known_hosts(state, sequence, MAX_HOSTS_REGULAR)
-        }
+        HeartbeatKind::Regular if is_full => select_known_hosts(state, sequence, MAX_HOSTS_REGULAR),
         _ => vec![],
     };
     // Each lock is acquired and released in its own statement: acquiring one lock twice in a single
     // expression would deadlock.
-    let declarations = lock(&state.declarations).current().map_or(0, |current| current.version());
-    let targets = lock(&state.updates).targets_version();
-    let drains = lock(&state.drains).advertised(is_usage_full, now);
+    let declarations_version =
+        lock(&state.declarations).current().map_or(0, |current| current.version());
+    let targets_version = lock(&state.updates).targets_version();
+    let drains = lock(&state.drains).advertised(is_full, now);
     let quota = lock(&state.quota);
-    let (usage, is_settled) = (quota.usage(is_usage_full, now), quota.is_settled(now));
+    let (usage, is_settled) = (quota.usage(is_full, now), quota.is_settled(now));
     drop(quota);
     let crash_counts =
         lock(&state.crashes).recent_local_crashes(CRASH_COUNT_TTL, MAX_CRASH_COUNTS, now);
@@ -83,10 +81,10 @@
         is_join_request: matches!(kind, HeartbeatKind::JoinRequest { .. }),
         wants_hosts: kind == HeartbeatKind::JoinRequest { wants_hosts: true },
         reaches_store: state.relayed_store.is_reachable(),
-        declarations,
-        targets,
+        declarations_version,
+        targets_version,
         usage,
-        is_usage_full,
+        is_full,
         is_settled,
         known_hosts,
         ended: state.directory.recently_ended(JOB_END_TTL, now),
@@ -216,7 +214,7 @@
     if was_silent {
         log::info!(peer = &*id.address, incarnation = id.incarnation; "host-heard");
         update_alive_share(state);
-        if !received.is_usage_full {
+        if !received.is_full {
             // The quota needs a full heartbeat as the baseline of the host's counts. The response to a
             // join request is one.
             let (state, address) = (state.clone(), id.address.clone());
@@ -233,10 +231,12 @@
     for count in &received.crash_counts {
         lock(&state.crashes).merge(count.fingerprint, count.crashes, now);
     }
-    let own_declarations =
+    let own_declarations_version =
         lock(&state.declarations).current().map_or(0, |current| current.version());
-    let own_targets = lock(&state.updates).targets_version();
-    if received.declarations > own_declarations || received.targets > own_targets {
+    let own_targets_version = lock(&state.updates).targets_version();
+    if received.declarations_version > own_declarations_version
+        || received.targets_version > own_targets_version
+    {
         let permit = state.update_request_permit.try_acquire();
         if let Ok(permit) = permit {
             permit.forget();
--- a/crates/cuminramp-gateway/src/sync/updates.rs
+++ b/crates/cuminramp-gateway/src/sync/updates.rs
@@ -272,10 +272,12 @@
     tokio::time::sleep(UPDATE_REQUEST_DELAY).await;
     let declarations = lock(&state.declarations).current().map_or(0, |current| current.version());
     let targets = lock(&state.updates).targets_version();
-    let is_behind =
-        lock(&state.peers).get(&address).and_then(|peer| peer.heartbeat.as_ref()).is_some_and(
-            |heartbeat| heartbeat.declarations > declarations || heartbeat.targets > targets,
-        );
+    let is_behind = lock(&state.peers)
+        .get(&address)
+        .and_then(|peer| peer.heartbeat.as_ref())
+        .is_some_and(|heartbeat| {
+            heartbeat.declarations_version > declarations || heartbeat.targets_version > targets
+        });
     if !is_behind {
         return;
     }
--- a/crates/cuminramp-replay/src/world/arrivals.rs
+++ b/crates/cuminramp-replay/src/world/arrivals.rs
@@ -84,7 +84,7 @@
             host: "host".into(),
             due: self.now + DUE_DELAY,
             expires: self.now + DUE_DELAY * 10,
-            max_attempts: 3,
+            max_failures: 3,
             items,
         };
         self.report.items += ITEMS as u32;
